--- a/internal/chooser/chooser.go
+++ b/internal/chooser/chooser.go
@@ -32,9 +32,9 @@
 	return &Chooser{nodes: nodes, hashes: hashes, table: rendezvous.New(nodes, xxhash.Sum64String)}
 }
 
-// Among returns a chooser among other nodes: c itself when they are the same in
+// WithNodes returns a chooser among other nodes: c itself when they are the same in
 // the same order. A nil chooser has no nodes yet.
-func (c *Chooser) Among(nodes []string) *Chooser {
+func (c *Chooser) WithNodes(nodes []string) *Chooser {
 	if c != nil && slices.Equal(c.nodes, nodes) {
 		return c
 	}
@@ -47,9 +47,9 @@
 	return c.table.Lookup(name)
 }
 
-// Several returns up to count different nodes for a name, that of Choose first.
+// ChooseN returns up to count different nodes for a name, that of Choose first.
 // If one of them goes, the others stay chosen.
-func (c *Chooser) Several(name string, count int) []string {
+func (c *Chooser) ChooseN(name string, count int) []string {
 	type ranked struct {
 		node  string
 		score uint64
--- a/internal/chooser/chooser_test.go
+++ b/internal/chooser/chooser_test.go
@@ -11,7 +11,7 @@
 
 func TestChooser_EmptyChoosesNobody(t *testing.T) {
 	assert.Equal(t, New(nil).Choose("a"), "")
-	assert.Equal(t, len(New(nil).Several("a", 2)), 0)
+	assert.Equal(t, len(New(nil).ChooseN("a", 2)), 0)
 }
 
 // Symptom: names move although their nodes stay, or two nodes choose unlike.
@@ -21,15 +21,15 @@
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := rapid.SliceOfNDistinct(rapid.StringMatching(`n[0-9]{1,3}`), 2, 9, rapid.ID[string]).Draw(t, "nodes")
 		name := rapid.String().Draw(t, "name")
-		before := New(nodes).Several(name, 2)
+		before := New(nodes).ChooseN(name, 2)
 		lost := rapid.SampledFrom(nodes).Draw(t, "lost")
 
 		slices.Reverse(nodes)
-		assert.DeepEqual(t, New(nodes).Several(name, 2), before)
+		assert.DeepEqual(t, New(nodes).ChooseN(name, 2), before)
 		assert.Equal(t, New(nodes).Choose(name), before[0])
 
 		kept := slices.DeleteFunc(nodes, func(v string) bool { return v == lost })
-		after := New(kept).Several(name, 2)
+		after := New(kept).ChooseN(name, 2)
 
 		for _, v := range before {
 			assert.Assert(t, v == lost || slices.Contains(after, v))
@@ -57,7 +57,7 @@
 				rest = slices.DeleteFunc(rest, func(node string) bool { return node == next })
 			}
 
-			got := New(nodes).Several(name, 8)
+			got := New(nodes).ChooseN(name, 8)
 			assert.Assert(t, slices.Equal(got, want), "%d nodes, %s: %v, want %v", size, name, got, want)
 		}
 	}
--- a/internal/distributor/watcher.go
+++ b/internal/distributor/watcher.go
@@ -34,7 +34,7 @@
 		}
 	}
 
-	return chooser.New(names).Several("tree-watcher/"+self.FailureDomain, watchersPerDomain)
+	return chooser.New(names).ChooseN("tree-watcher/"+self.FailureDomain, watchersPerDomain)
 }
 
 // isWatcher reports whether this node is one of its failure domain's watchers.
--- a/internal/gateway/broker/broker_test.go
+++ b/internal/gateway/broker/broker_test.go
@@ -161,7 +161,7 @@
 
 // holder is the node that decides, others are those that don't know the pool.
 func (f *fleet) holder() (string, []string) {
-	chosen := chooser.New(f.live()).Several(service+"/0", 2)
+	chosen := chooser.New(f.live()).ChooseN(service+"/0", 2)
 
 	var others []string
 	for _, name := range f.live() {
@@ -257,7 +257,7 @@
 	inFleet(t, 8, 1, 4, func(t *testing.T, f *fleet) {
 		holder, others := f.holder()
 		_ = choose(f, others[:4], 1, "running")
-		standby := chooser.New(f.live()).Several(service+"/0", 2)[1]
+		standby := chooser.New(f.live()).ChooseN(service+"/0", 2)[1]
 
 		for _, name := range []string{holder, standby} {
 			f.set(f.silent, name)
--- a/internal/gateway/broker/placing.go
+++ b/internal/gateway/broker/placing.go
@@ -23,7 +23,7 @@
 
 	chosen, ok := b.holders[pool]
 	if !ok {
-		chosen = b.nodes.Several(pool, holders)
+		chosen = b.nodes.ChooseN(pool, holders)
 		b.holders[pool] = chosen
 		b.noteKnown(pool, chosen, now)
 	}
@@ -54,7 +54,7 @@
 	most := (len(pools) + len(b.live) - 1) / max(len(b.live), 1)
 
 	for _, pool := range pools {
-		order := b.nodes.Several(pool, holderCandidates)
+		order := b.nodes.ChooseN(pool, holderCandidates)
 		free := slices.IndexFunc(order, func(node string) bool { return held[node] < most })
 
 		if free > 0 {
@@ -106,7 +106,7 @@
 		return false
 	}
 
-	b.live, b.nodes = live, b.nodes.Among(live)
+	b.live, b.nodes = live, b.nodes.WithNodes(live)
 	clear(b.holders)
 
 	return true
--- a/internal/granter/placement.go
+++ b/internal/granter/placement.go
@@ -140,7 +140,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
-	among, pools := p.nodes.Among(nodes), p.pools
+	among, pools := p.nodes.WithNodes(nodes), p.pools
 	if p.nodes == nil || snapshot.Revision != p.revision {
 		pools = poolsOf(snapshot)
 	}
--- a/internal/limiter/cuts_test.go
+++ b/internal/limiter/cuts_test.go
@@ -255,7 +255,7 @@
 // other is the last node that would own the limit.
 func (c *cluster) other() string {
 	names := c.names()
-	chosen := chooser.New(names).Several(testKey.text(), len(names))
+	chosen := chooser.New(names).ChooseN(testKey.text(), len(names))
 
 	return chosen[len(chosen)-1]
 }
--- a/internal/limiter/limiter.go
+++ b/internal/limiter/limiter.go
@@ -54,7 +54,7 @@
 	defer l.mu.Unlock()
 
 	division := newDivision(l.options, len(live), known)
-	owners := l.owners.Among(live)
+	owners := l.owners.WithNodes(live)
 	l.known = known
 
 	if owners == l.owners && division == l.view.current {
--- a/internal/limiter/owner.go
+++ b/internal/limiter/owner.go
@@ -63,7 +63,7 @@
 
 	o.noticeFreeze(now)
 
-	owners := o.owners.Among(live)
+	owners := o.owners.WithNodes(live)
 
 	if owners == o.owners && o.known == known {
 		return
--- a/internal/quarantiner/quarantiner.go
+++ b/internal/quarantiner/quarantiner.go
@@ -218,13 +218,13 @@
 
 	q.chosenAt = now
 
-	nodes := q.nodes.Among(live)
+	nodes := q.nodes.WithNodes(live)
 	if nodes == q.nodes {
 		return q.judges
 	}
 
 	q.nodes = nodes
-	chosen = nodes.Several(judgesName, judges)
+	chosen = nodes.ChooseN(judgesName, judges)
 
 	if !slices.Equal(chosen, q.judges) {
 		q.judges = chosen
