--- a/internal/gateway/balancer/loss.go
+++ b/internal/gateway/balancer/loss.go
@@ -87,14 +87,14 @@
 
 // eventTime is the time between two events in milliseconds while no prompts are read.
 func (p *Pool) eventTime() float64 {
-	return p.model.Figures().StepTime * float64(max(p.engine.EventTokens, 1))
+	return p.model.Estimates().StepMS * float64(max(p.engine.EventTokens, 1))
 }
 
 // gap is the longest pause between events in milliseconds while a backlog of prompt tokens is read.
 func (p *Pool) gap(now time.Time, s *server, backlog float64) float64 {
 	calm := p.eventTime()
 
-	return s.speedNow(now) * (calm + min(s.readingTime(backlog), max(p.model.Figures().ReadingPause-calm, 0)))
+	return s.speedNow(now) * (calm + min(s.readingTime(backlog), max(p.model.Estimates().PrefillGapMS-calm, 0)))
 }
 
 // sensitivity is how much a stream suffers from prompts read beside it: from 0 where its gap
@@ -104,7 +104,7 @@
 		return 0
 	}
 
-	ratio := milliseconds(work.GapLimit) / p.model.Figures().ReadingPause
+	ratio := milliseconds(work.GapLimit) / p.model.Estimates().PrefillGapMS
 
 	return min(max((3-ratio)/1.5, 0), 1)
 }
--- a/internal/gateway/balancer/observing.go
+++ b/internal/gateway/balancer/observing.go
@@ -37,9 +37,9 @@
 
 	switch {
 	case beside <= 0:
-		p.model.Stepped(pauses.Mean / float64(max(p.engine.EventTokens, 1)))
+		p.model.ObserveStep(pauses.Mean / float64(max(p.engine.EventTokens, 1)))
 	case beside >= disturbing*chunkTokens:
-		p.model.Paused(pauses.Longest)
+		p.model.ObservePrefillGap(pauses.Longest)
 	}
 }
 
@@ -53,7 +53,7 @@
 
 	if r.server.engine.CacheTokens == 0 {
 		if len(r.server.running) <= r.server.Slots {
-			p.model.Called(took)
+			p.model.ObservePlainCall(took)
 		}
 
 		return
@@ -66,5 +66,5 @@
 		return
 	}
 
-	p.model.Read(r.reading+r.ahead, max(took-p.eventTime(), 0))
+	p.model.ObservePrefill(r.reading+r.ahead, max(took-p.eventTime(), 0))
 }
--- a/internal/gateway/balancer/report.go
+++ b/internal/gateway/balancer/report.go
@@ -24,11 +24,11 @@
 }
 
 // Figures returns what the pool has learned of how fast its servers work.
-func (p *Pool) Figures() estimator.Figures {
+func (p *Pool) Figures() estimator.Estimates {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
-	return p.model.Figures()
+	return p.model.Estimates()
 }
 
 // Report returns what the pool believes of its servers.
--- a/internal/gateway/balancer/server.go
+++ b/internal/gateway/balancer/server.go
@@ -172,10 +172,10 @@
 // readingTime is the time in milliseconds for so much work at a server of the usual speed.
 func (s *server) readingTime(reading float64) float64 {
 	if s.engine.CacheTokens == 0 {
-		return reading * s.model.Figures().PlainTime
+		return reading * s.model.Estimates().PlainCallMS
 	}
 
-	return reading / s.model.Figures().ReadingRate
+	return reading / s.model.Estimates().PrefillTokensPerMS
 }
 
 // remember notes that the server's cache gets the parts of a prompt.
--- a/internal/gateway/broker/broker.go
+++ b/internal/gateway/broker/broker.go
@@ -218,7 +218,7 @@
 	// Holder is the node that decides for the pool.
 	Holder  string                  `json:"holder"`
 	Waiting int                     `json:"waiting"`
-	Figures estimator.Figures       `json:"figures"`
+	Figures estimator.Estimates     `json:"figures"`
 	Servers []balancer.ServerReport `json:"servers"`
 }
 
--- a/internal/gateway/estimator/estimator.go
+++ b/internal/gateway/estimator/estimator.go
@@ -38,16 +38,16 @@
 	usualWorst = 0.7
 )
 
-// Figures are what an estimator believes of a pool's upstreams.
-type Figures struct {
-	// ReadingRate is the number of prompt tokens that an engine reads in a millisecond.
-	ReadingRate float64 `json:"reading_rate"`
-	// StepTime is the time of one token of a stream in milliseconds while no prompts are read beside it.
-	StepTime float64 `json:"step_ms"`
-	// ReadingPause is the longest pause between two events of a stream in milliseconds while prompts are read beside it.
-	ReadingPause float64 `json:"reading_pause_ms"`
-	// PlainTime is the time of one call of a plain service in milliseconds.
-	PlainTime float64 `json:"plain_ms"`
+// Estimates are what an estimator believes of a pool's upstreams.
+type Estimates struct {
+	// PrefillTokensPerMS is the number of prompt tokens that an engine reads in a millisecond.
+	PrefillTokensPerMS float64 `json:"reading_rate"`
+	// StepMS is the time of one token of a stream in milliseconds while no prompts are read beside it.
+	StepMS float64 `json:"step_ms"`
+	// PrefillGapMS is the longest pause between two events of a stream in milliseconds while prompts are read beside it.
+	PrefillGapMS float64 `json:"reading_pause_ms"`
+	// PlainCallMS is the time of one call of a plain service in milliseconds.
+	PlainCallMS float64 `json:"plain_ms"`
 }
 
 // Estimator keeps the figures of one pool. It is not safe for concurrent use.
@@ -67,29 +67,29 @@
 	}
 }
 
-// Read takes in the milliseconds that an engine needed to read so many tokens.
-func (e *Estimator) Read(tokens, took float64) {
+// ObservePrefill takes in the milliseconds that an engine needed to read so many tokens.
+func (e *Estimator) ObservePrefill(tokens, took float64) {
 	if tokens > 0 {
 		e.readingTime.take(took / tokens)
 	}
 }
 
-// Stepped takes in the mean time of a token in milliseconds, of a stream beside which no prompts were read.
-func (e *Estimator) Stepped(took float64) { e.stepTime.take(took) }
+// ObserveStep takes in the mean time of a token in milliseconds, of a stream beside which no prompts were read.
+func (e *Estimator) ObserveStep(took float64) { e.stepTime.take(took) }
 
-// Paused takes in the longest pause in milliseconds of a stream beside which prompts were read.
-func (e *Estimator) Paused(longest float64) { e.readingPause.take(longest) }
+// ObservePrefillGap takes in the longest pause in milliseconds of a stream beside which prompts were read.
+func (e *Estimator) ObservePrefillGap(longest float64) { e.readingPause.take(longest) }
 
-// Called takes in the milliseconds of one call of a plain service that had a slot at once.
-func (e *Estimator) Called(took float64) { e.plainTime.take(took) }
+// ObservePlainCall takes in the milliseconds of one call of a plain service that had a slot at once.
+func (e *Estimator) ObservePlainCall(took float64) { e.plainTime.take(took) }
 
-// Figures returns the present estimates.
-func (e *Estimator) Figures() Figures {
-	return Figures{
-		ReadingRate:  1 / e.readingTime.value,
-		StepTime:     e.stepTime.value,
-		ReadingPause: e.readingPause.value,
-		PlainTime:    e.plainTime.value,
+// Estimates returns the present estimates.
+func (e *Estimator) Estimates() Estimates {
+	return Estimates{
+		PrefillTokensPerMS: 1 / e.readingTime.value,
+		StepMS:             e.stepTime.value,
+		PrefillGapMS:       e.readingPause.value,
+		PlainCallMS:        e.plainTime.value,
 	}
 }
 
--- a/internal/gateway/estimator/estimator_test.go
+++ b/internal/gateway/estimator/estimator_test.go
@@ -29,10 +29,10 @@
 		took *= 0.1
 	}
 
-	e.Read(tokens, took)
-	e.Stepped(g.step * noise)
-	e.Paused(g.pause * noise)
-	e.Called(g.plain * noise)
+	e.ObservePrefill(tokens, took)
+	e.ObserveStep(g.step * noise)
+	e.ObservePrefillGap(g.pause * noise)
+	e.ObservePlainCall(g.plain * noise)
 }
 
 func within(t *testing.T, what string, got, want, part float64) {
@@ -58,12 +58,12 @@
 				g.answer(e)
 			}
 
-			figures := e.Figures()
-			within(t, "reading", figures.ReadingRate, g.rate, 0.15)
-			within(t, "step", figures.StepTime, g.step, 0.15)
-			within(t, "plain call", figures.PlainTime, g.plain, 0.15)
+			figures := e.Estimates()
+			within(t, "reading", figures.PrefillTokensPerMS, g.rate, 0.15)
+			within(t, "step", figures.StepMS, g.step, 0.15)
+			within(t, "plain call", figures.PlainCallMS, g.plain, 0.15)
 			// Seven of ten streams stay under it.
-			within(t, "reading pause", figures.ReadingPause, g.pause*1.08, 0.15)
+			within(t, "reading pause", figures.PrefillGapMS, g.pause*1.08, 0.15)
 		})
 	}
 }
@@ -84,22 +84,22 @@
 		slow.answer(e)
 	}
 
-	within(t, "reading", e.Figures().ReadingRate, slow.rate, 0.2)
+	within(t, "reading", e.Estimates().PrefillTokensPerMS, slow.rate, 0.2)
 
 	for range 200 {
 		fast.answer(e)
 	}
 
-	within(t, "reading", e.Figures().ReadingRate, fast.rate, 0.2)
+	within(t, "reading", e.Estimates().PrefillTokensPerMS, fast.rate, 0.2)
 }
 
 func TestImpossibleTimesSayNothing(t *testing.T) {
 	e := estimator.New(0)
-	before := e.Figures()
+	before := e.Estimates()
 
-	e.Read(0, 5)
-	e.Read(100, 0)
-	e.Stepped(-1)
-	e.Called(math.NaN())
-	assert.Equal(t, e.Figures(), before)
+	e.ObservePrefill(0, 5)
+	e.ObservePrefill(100, 0)
+	e.ObserveStep(-1)
+	e.ObservePlainCall(math.NaN())
+	assert.Equal(t, e.Estimates(), before)
 }
