--- a/internal/gateway/relayer/request.go
+++ b/internal/gateway/relayer/request.go
@@ -164,13 +164,13 @@
 		delete(accepted.header, r.options.Headers.Authorization)
 	}
 
-	accepted.service = router.Pick(route, accepted.id)
+	accepted.service = router.PickService(route, accepted.id)
 	if accepted.service == "" {
 		return nil, classifier.New(classifier.NoUpstream, "the route has no service").After(later())
 	}
 
 	accepted.limit = arrived.Add(r.timeLimit(route, incoming))
-	accepted.rank = table.Rank(route, organisation).Engine
+	accepted.rank = table.Rank(route, organisation).EngineRank
 	accepted.work = r.work(route, table.Rank(route, organisation), incoming.Header)
 
 	if failure := r.readBody(w, accepted, table.Limits, incoming); failure != nil {
@@ -241,7 +241,7 @@
 
 // work describes the request to the balancer.
 func (r *Relayer) work(route *cataloguer.Route, rank router.Rank, header http.Header) balancer.Work {
-	work := balancer.Work{Priority: rank.Tier, Order: rank.Order, Target: route.Target, GapLimit: route.GapLimit}
+	work := balancer.Work{Priority: rank.Priority, Order: rank.OrganisationRank, Target: route.Target, GapLimit: route.GapLimit}
 
 	prompt, output, _ := strings.Cut(header.Get(r.options.Headers.TokenCounts), ",")
 	work.PromptTokens = number(prompt)
--- a/internal/gateway/router/router.go
+++ b/internal/gateway/router/router.go
@@ -96,17 +96,17 @@
 	return organisation, ok
 }
 
-// Ranks is the number of ranks that engines tell apart.
-const Ranks = 10
+// EngineRanks is the number of ranks that engines tell apart.
+const EngineRanks = 10
 
 // Rank is the urgency of a request.
 type Rank struct {
-	// Tier is the place of its route's priority among those of all routes, 0 first.
-	Tier int
-	// Order is the place of its organisation's priority among those of all organisations, 0 first.
-	Order int
-	// Engine combines both for engines: from 0, the first, to Ranks-1.
-	Engine int
+	// Priority is the place of its route's priority among those of all routes, 0 first.
+	Priority int
+	// OrganisationRank is the place of its organisation's priority among those of all organisations, 0 first.
+	OrganisationRank int
+	// EngineRank combines both for engines: from 0, the first, to Ranks-1.
+	EngineRank int
 }
 
 // Rank returns the urgency of a request of an organisation, which may be nil. The route's priority goes first, the
@@ -115,17 +115,17 @@
 func (t *Table) Rank(route *cataloguer.Route, organisation *cataloguer.Organisation) Rank {
 	// Who has no priority comes with the last of those who have.
 	orders := max(len(t.organisationLevels), 1)
-	rank := Rank{Order: orders - 1}
+	rank := Rank{OrganisationRank: orders - 1}
 
 	if organisation != nil && organisation.Priority != nil {
-		rank.Order, _ = slices.BinarySearch(t.organisationLevels, *organisation.Priority)
+		rank.OrganisationRank, _ = slices.BinarySearch(t.organisationLevels, *organisation.Priority)
 	}
 
-	rank.Tier, _ = slices.BinarySearch(t.routeLevels, route.Priority)
-	rank.Engine = rank.Tier*orders + rank.Order
+	rank.Priority, _ = slices.BinarySearch(t.routeLevels, route.Priority)
+	rank.EngineRank = rank.Priority*orders + rank.OrganisationRank
 
-	if total := orders * len(t.routeLevels); total > Ranks {
-		rank.Engine = rank.Engine * Ranks / total
+	if total := orders * len(t.routeLevels); total > EngineRanks {
+		rank.EngineRank = rank.EngineRank * EngineRanks / total
 	}
 
 	return rank
@@ -149,9 +149,9 @@
 	return slices.Compact(organisations), slices.Compact(routes)
 }
 
-// Pick returns the service for a request of the route: the same one for the same
+// PickService returns the service for a request of the route: the same one for the same
 // request id, in proportion to the weights. It returns "" for a route without services.
-func Pick(route *cataloguer.Route, requestID string) string {
+func PickService(route *cataloguer.Route, requestID string) string {
 	total := 0
 	for _, share := range route.Shares {
 		total += share.Weight
--- a/internal/gateway/router/router_test.go
+++ b/internal/gateway/router/router_test.go
@@ -70,13 +70,13 @@
 	counts := map[string]int{}
 
 	for i := range 10000 {
-		counts[router.Pick(route, strconv.Itoa(i))]++
+		counts[router.PickService(route, strconv.Itoa(i))]++
 	}
 
 	assert.Assert(t, counts["a"] > 8800 && counts["a"] < 9200, "%v", counts)
 	assert.Equal(t, counts["c"], 0)
-	assert.Equal(t, router.Pick(route, "same"), router.Pick(route, "same"))
-	assert.Equal(t, router.Pick(&cataloguer.Route{}, "none"), "")
+	assert.Equal(t, router.PickService(route, "same"), router.PickService(route, "same"))
+	assert.Equal(t, router.PickService(&cataloguer.Route{}, "none"), "")
 }
 
 // Symptom: engines set chats back while long drafts run on.
@@ -92,12 +92,12 @@
 		Organisations: []cataloguer.Organisation{small, large, none},
 	})
 
-	assert.Equal(t, table.Rank(&chat, &large), router.Rank{Tier: 0, Order: 0, Engine: 0})
-	assert.Equal(t, table.Rank(&chat, &small), router.Rank{Tier: 0, Order: 1, Engine: 1})
-	assert.Equal(t, table.Rank(&draft, &large), router.Rank{Tier: 1, Order: 0, Engine: 2})
-	assert.Equal(t, table.Rank(&draft, &small), router.Rank{Tier: 1, Order: 1, Engine: 3})
-	assert.Equal(t, table.Rank(&chat, &none).Engine, 1)
-	assert.Equal(t, table.Rank(&draft, nil).Engine, 3)
+	assert.Equal(t, table.Rank(&chat, &large), router.Rank{Priority: 0, OrganisationRank: 0, EngineRank: 0})
+	assert.Equal(t, table.Rank(&chat, &small), router.Rank{Priority: 0, OrganisationRank: 1, EngineRank: 1})
+	assert.Equal(t, table.Rank(&draft, &large), router.Rank{Priority: 1, OrganisationRank: 0, EngineRank: 2})
+	assert.Equal(t, table.Rank(&draft, &small), router.Rank{Priority: 1, OrganisationRank: 1, EngineRank: 3})
+	assert.Equal(t, table.Rank(&chat, &none).EngineRank, 1)
+	assert.Equal(t, table.Rank(&draft, nil).EngineRank, 3)
 }
 
 func TestRanksFitEnginesWhereThereAreMany(t *testing.T) {
@@ -113,11 +113,11 @@
 
 	for i := range configuration.Routes {
 		for j := range configuration.Organisations {
-			rank := table.Rank(&configuration.Routes[i], &configuration.Organisations[j]).Engine
-			assert.Assert(t, rank >= last && rank < router.Ranks, "rank %d after %d", rank, last)
+			rank := table.Rank(&configuration.Routes[i], &configuration.Organisations[j]).EngineRank
+			assert.Assert(t, rank >= last && rank < router.EngineRanks, "rank %d after %d", rank, last)
 			last = rank
 		}
 	}
 
-	assert.Equal(t, last, router.Ranks-1)
+	assert.Equal(t, last, router.EngineRanks-1)
 }
