--- a/internal/gateway/balancer/admission.go
+++ b/internal/gateway/balancer/admission.go
@@ -19,7 +19,7 @@
 //
 // Under overload it would else wait until it is late, only to be refused for the room that there isn't. Refused at
 // once, its caller can go elsewhere or come back when the queue is shorter.
-func (p *Pool) prospect(now time.Time, work *Work) (time.Duration, bool) {
+func (p *Pool) prospect(now time.Time, work *Request) (time.Duration, bool) {
 	if work.Target == 0 {
 		return 0, true
 	}
@@ -49,12 +49,12 @@
 // patience is how long the request may wait: as long as it can meet its target, or else for a small part of its time. One
 // that waits for longer is hardly ever served and learns late that it won't be; refused early, its caller may come
 // back in time.
-func patience(work *Work) time.Duration {
+func patience(work *Request) time.Duration {
 	if work.Target == 0 {
-		return work.Limit
+		return work.TimeLimit
 	}
 
-	return time.Duration(max(lateWait*float64(work.Target), patiencePart*float64(work.Limit)))
+	return time.Duration(max(lateWait*float64(work.Target), patiencePart*float64(work.TimeLimit)))
 }
 
 // mostLate is the number of late requests that may wait while so many requests get room in a second.
@@ -63,14 +63,14 @@
 }
 
 // mayEver says whether any server may get the request once it has room.
-func (p *Pool) mayEver(now time.Time, work *Work) bool {
+func (p *Pool) mayEver(now time.Time, work *Request) bool {
 	return slices.ContainsFunc(p.servers, func(s *server) bool {
 		return s.usable(now) && !slices.Contains(work.Excluded, s.ID)
 	})
 }
 
 // outranked says whether a request that waits goes before the work.
-func (p *Pool) outranked(work *Work) bool {
+func (p *Pool) outranked(work *Request) bool {
 	return slices.ContainsFunc(p.queue, func(q *queued) bool { return q.place <= baseRank(work) })
 }
 
--- a/internal/gateway/balancer/bench_test.go
+++ b/internal/gateway/balancer/bench_test.go
@@ -18,9 +18,9 @@
 			for i := range b.N {
 				now = now.Add(10 * time.Millisecond)
 				id := fmt.Sprint("r", i)
-				_, _ = p.Ask(now, "node", notes(id, fmt.Sprint("s", i%300)))
-				p.First(now.Add(5*time.Millisecond), id, nil)
-				p.End(now.Add(6*time.Millisecond), id, balancer.Served)
+				_, _ = p.Acquire(now, "node", notes(id, fmt.Sprint("s", i%300)))
+				p.RecordFirstEvent(now.Add(5*time.Millisecond), id, nil)
+				p.RecordEnd(now.Add(6*time.Millisecond), id, balancer.Served)
 			}
 		})
 	}
@@ -41,22 +41,22 @@
 	var running []string
 
 	place := func(id string) {
-		p.First(now, id, nil)
+		p.RecordFirstEvent(now, id, nil)
 		running = append(running, id)
 	}
 
 	ask := func(i int) {
 		work := notes(fmt.Sprint("r", i), fmt.Sprint("s", i%600))
-		work.Limit = time.Hour
+		work.TimeLimit = time.Hour
 		work.Target = 0
 
-		if _, decision := p.Ask(now, "node", work); decision == balancer.Granted {
+		if _, decision := p.Acquire(now, "node", work); decision == balancer.Granted {
 			place(work.ID)
 		}
 	}
 
 	next := 0
-	for ; p.Waiting() < waiting; next++ {
+	for ; p.QueueLength() < waiting; next++ {
 		ask(next)
 	}
 
@@ -65,10 +65,10 @@
 		ask(next)
 		next++
 
-		p.End(now, running[0], balancer.Served)
+		p.RecordEnd(now, running[0], balancer.Served)
 		running = running[1:]
 
-		for _, g := range p.Next(now) {
+		for _, g := range p.GrantQueued(now) {
 			place(g.ID)
 		}
 	}
--- a/internal/gateway/balancer/engines_test.go
+++ b/internal/gateway/balancer/engines_test.go
@@ -12,11 +12,11 @@
 )
 
 // draft is a request with a long shared part, as one of a reading list.
-func draft(id, session string) balancer.Work {
-	return balancer.Work{
-		ID: id, Priority: notesPriority, PromptTokens: 16_000, OutputTokens: 120, Limit: 8 * time.Second,
-		Parts:  []balancer.Part{{ID: session, Tokens: 13_000}, {ID: id, Tokens: 3000}},
-		Target: 1500 * time.Millisecond, GapLimit: 600 * time.Millisecond,
+func draft(id, session string) balancer.Request {
+	return balancer.Request{
+		ID: id, Priority: notesPriority, PromptTokens: 16_000, OutputTokens: 120, TimeLimit: 8 * time.Second,
+		PromptParts: []balancer.PromptPart{{ID: session, Tokens: 13_000}, {ID: id, Tokens: 3000}},
+		Target:      1500 * time.Millisecond, GapLimit: 600 * time.Millisecond,
 	}
 }
 
@@ -32,18 +32,18 @@
 		granted(t, p, now, draft(id, "s"))
 
 		now = now.Add(300 * time.Millisecond)
-		p.First(now, id, nil)
+		p.RecordFirstEvent(now, id, nil)
 	}
 
 	// Another session doesn't fit beside them.
-	_, decision := p.Ask(now, "node", draft("other", "o"))
+	_, decision := p.Acquire(now, "node", draft("other", "o"))
 	assert.Equal(t, decision, balancer.Queued)
 
 	for i := range 20 {
-		p.End(now, fmt.Sprint("d", i), balancer.Served)
+		p.RecordEnd(now, fmt.Sprint("d", i), balancer.Served)
 	}
 
-	grants := p.Next(now)
+	grants := p.GrantQueued(now)
 	assert.Equal(t, len(grants), 1)
 	assert.Equal(t, grants[0].ID, "other")
 }
@@ -56,8 +56,8 @@
 func TestLongWaitOpensNoEngineThatIsLateAnyway(t *testing.T) {
 	p := newPool(2, 64, balancer.Engine{CacheTokens: 600_000, EventTokens: 5})
 	engine := granted(t, p, at(0), draft("first", "s"))
-	p.First(at(150*time.Millisecond), "first", nil)
-	p.End(at(time.Second), "first", balancer.Served)
+	p.RecordFirstEvent(at(150*time.Millisecond), "first", nil)
+	p.RecordEnd(at(time.Second), "first", balancer.Served)
 
 	other := "b"
 	if engine == "b" {
@@ -67,15 +67,15 @@
 	// Nodes that don't reach this holder fill both engines.
 	long, short := draft("long", "l"), draft("short", "k")
 	long.PromptTokens, short.PromptTokens = 300_000, 20_000
-	p.Begin(at(1000*time.Millisecond), engine, long)
-	p.Begin(at(1000*time.Millisecond), other, short)
+	p.AddRunning(at(1000*time.Millisecond), engine, long)
+	p.AddRunning(at(1000*time.Millisecond), other, short)
 
-	_, decision := p.Ask(at(1001*time.Millisecond), "node", draft("second", "s"))
+	_, decision := p.Acquire(at(1001*time.Millisecond), "node", draft("second", "s"))
 	assert.Equal(t, decision, balancer.Queued)
 
-	p.First(at(1650*time.Millisecond), "short", nil)
+	p.RecordFirstEvent(at(1650*time.Millisecond), "short", nil)
 
-	grants := p.Next(at(1660 * time.Millisecond))
+	grants := p.GrantQueued(at(1660 * time.Millisecond))
 	assert.Equal(t, len(grants), 1)
 	assert.Equal(t, grants[0].Choice.Upstream, other)
 }
@@ -93,13 +93,13 @@
 				id := fmt.Sprint("d", i)
 				granted(t, p, now, draft(id, id))
 				now = now.Add(took)
-				p.First(now, id, nil)
-				p.End(now, id, balancer.Served)
+				p.RecordFirstEvent(now, id, nil)
+				p.RecordEnd(now, id, balancer.Served)
 			}
 
-			choice, decision := p.Ask(now, "node", draft("last", "last"))
+			choice, decision := p.Acquire(now, "node", draft("last", "last"))
 			assert.Equal(t, decision, balancer.Granted)
-			assert.Assert(t, math.Abs(choice.Waiting/(16_000/rate)-1) < 0.15, "expected %.0f ms, true %.0f", choice.Waiting, 16_000/rate)
+			assert.Assert(t, math.Abs(choice.ExpectedWaitMS/(16_000/rate)-1) < 0.15, "expected %.0f ms, true %.0f", choice.ExpectedWaitMS, 16_000/rate)
 		})
 	}
 }
@@ -109,13 +109,13 @@
 // Cause: their first event was taken to come at the moment at which they were told.
 func TestRequestsThatContinueSayNothingOfTheSpeed(t *testing.T) {
 	p := newPool(1, 64, balancer.Engine{CacheTokens: 2_000_000, EventTokens: 5})
-	before := p.Figures()
+	before := p.Estimates()
 
 	for i := range 20 {
-		p.Continue(at(0), "a", draft(fmt.Sprint("d", i), "s"))
+		p.AddAnswering(at(0), "a", draft(fmt.Sprint("d", i), "s"))
 	}
 
-	assert.Equal(t, p.Figures(), before)
+	assert.Equal(t, p.Estimates(), before)
 	report := p.Report(at(0))[0]
 	assert.Equal(t, report.Running, 20)
 	assert.Equal(t, report.BacklogTokens, 0.0)
--- a/internal/gateway/balancer/failing_test.go
+++ b/internal/gateway/balancer/failing_test.go
@@ -37,7 +37,7 @@
 		f.failed[upstream]++
 	}
 
-	f.pool.End(now.Add(5*time.Millisecond), id, balancer.Failed)
+	f.pool.RecordEnd(now.Add(5*time.Millisecond), id, balancer.Failed)
 }
 
 // run sends twice what the engines can take, for five seconds.
@@ -49,7 +49,7 @@
 		for j := range engines {
 			id := fmt.Sprintf("n%d.%d", i, j)
 
-			if choice, decision := f.pool.Ask(now, "node", notes(id, fmt.Sprint("s", (i*7+j)%200))); decision == balancer.Granted {
+			if choice, decision := f.pool.Acquire(now, "node", notes(id, fmt.Sprint("s", (i*7+j)%200))); decision == balancer.Granted {
 				f.settle(now, id, choice.Upstream)
 			}
 		}
@@ -59,7 +59,7 @@
 func (f *failingPool) settleGrants(now time.Time) {
 	f.endDue(now)
 
-	for _, g := range f.pool.Next(now) {
+	for _, g := range f.pool.GrantQueued(now) {
 		if !g.Refused {
 			f.settle(now, g.ID, g.Choice.Upstream)
 		}
--- a/internal/gateway/balancer/loss.go
+++ b/internal/gateway/balancer/loss.go
@@ -30,7 +30,7 @@
 }
 
 // expected is the predicted time to the first event in milliseconds.
-func (p *Pool) expected(now time.Time, s *server, work *Work) float64 {
+func (p *Pool) expected(now time.Time, s *server, work *Request) float64 {
 	if s.engine.CacheTokens == 0 {
 		rounds := (float64(len(s.running)) + s.foreignNow(now)) / float64(max(s.Slots, 1))
 
@@ -41,7 +41,7 @@
 }
 
 // loss is the expected loss of sending the work to the server.
-func (p *Pool) loss(now time.Time, s *server, work *Work) float64 {
+func (p *Pool) loss(now time.Time, s *server, work *Request) float64 {
 	worth := value(work.Priority)
 	expected := p.expected(now, s, work) + s.overdue(now)
 	target := max(milliseconds(work.Target), 1)
@@ -61,7 +61,7 @@
 }
 
 // disturbance is the loss through prompts that are read beside streams, and the price of the work.
-func (p *Pool) disturbance(now time.Time, s *server, work *Work) float64 {
+func (p *Pool) disturbance(now time.Time, s *server, work *Request) float64 {
 	reading := s.reading(work)
 	loss := workPrice * reading / chunkTokens * s.speedNow(now)
 
@@ -99,7 +99,7 @@
 
 // sensitivity is how much a stream suffers from prompts read beside it: from 0 where its gap
 // limit is three times the pause while a prompt is read, to 1 at half of that.
-func (p *Pool) sensitivity(work *Work) float64 {
+func (p *Pool) sensitivity(work *Request) float64 {
 	if work.GapLimit == 0 || p.engine.EventTokens == 0 {
 		return 0
 	}
--- a/internal/gateway/balancer/matching.go
+++ b/internal/gateway/balancer/matching.go
@@ -53,9 +53,9 @@
 			break
 		}
 
-		q.work.Limit = q.deadline.Sub(now)
+		q.work.TimeLimit = q.deadline.Sub(now)
 		q.work.Waited = now.Sub(q.since)
-		q.work.Overdue = q.work.Waited > time.Duration(float64(q.until.Sub(q.since))*overduePart)
+		q.work.AcceptAny = q.work.Waited > time.Duration(float64(q.until.Sub(q.since))*overduePart)
 
 		fit, ok := p.bestFit(now, open, &q.work)
 		if !ok {
@@ -78,7 +78,7 @@
 
 // bestFit tells how well the request goes with the best of the servers that take it, in prompt tokens: what it has
 // read of the prompt, less a part of what it must still read.
-func (p *Pool) bestFit(now time.Time, open []*server, work *Work) (float64, bool) {
+func (p *Pool) bestFit(now time.Time, open []*server, work *Request) (float64, bool) {
 	best, found := math.Inf(-1), false
 
 	for _, s := range open {
@@ -96,7 +96,7 @@
 	var open []*server
 
 	for _, s := range p.servers {
-		if p.takes(now, s, &Work{}) {
+		if p.takes(now, s, &Request{}) {
 			open = append(open, s)
 		}
 	}
--- a/internal/gateway/balancer/observing.go
+++ b/internal/gateway/balancer/observing.go
@@ -13,17 +13,17 @@
 	leastEvents = 3
 )
 
-// Pauses tell how the events of a whole stream came.
-type Pauses struct {
+// EventGaps tell how the events of a whole stream came.
+type EventGaps struct {
 	// Events counts them.
 	Events int `json:"n"`
-	// Mean and Longest are pauses between two events in milliseconds.
-	Mean    float64 `json:"m"`
-	Longest float64 `json:"l"`
+	// MeanMS and Longest are pauses between two events in milliseconds.
+	MeanMS    float64 `json:"m"`
+	LongestMS float64 `json:"l"`
 }
 
-// Paused records how the events of a request came. It is told before the request's end.
-func (p *Pool) Paused(id string, pauses Pauses) {
+// RecordGaps records how the events of a request came. It is told before the request's end.
+func (p *Pool) RecordGaps(id string, pauses EventGaps) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
@@ -37,9 +37,9 @@
 
 	switch {
 	case beside <= 0:
-		p.model.ObserveStep(pauses.Mean / float64(max(p.engine.EventTokens, 1)))
+		p.model.ObserveStep(pauses.MeanMS / float64(max(p.engine.EventTokens, 1)))
 	case beside >= disturbing*chunkTokens:
-		p.model.ObservePrefillGap(pauses.Longest)
+		p.model.ObservePrefillGap(pauses.LongestMS)
 	}
 }
 
--- a/internal/gateway/balancer/overload_test.go
+++ b/internal/gateway/balancer/overload_test.go
@@ -42,7 +42,7 @@
 	}
 
 	s.placed[id] = true
-	s.pool.First(now.Add(80*time.Millisecond), id, nil)
+	s.pool.RecordFirstEvent(now.Add(80*time.Millisecond), id, nil)
 	s.active = append(s.active, visit{id: id, end: now.Add(length)})
 }
 
@@ -57,7 +57,7 @@
 			continue
 		}
 
-		s.pool.End(now, v.id, balancer.Served)
+		s.pool.RecordEnd(now, v.id, balancer.Served)
 	}
 
 	s.active = left
@@ -67,7 +67,7 @@
 func (s *shop) finish(now time.Time) {
 	s.endDue(now)
 
-	for _, g := range s.pool.Next(now) {
+	for _, g := range s.pool.GrantQueued(now) {
 		if g.Refused {
 			s.refused++
 
@@ -78,12 +78,12 @@
 	}
 }
 
-func (s *shop) ask(now time.Time, work balancer.Work, isChat bool) {
+func (s *shop) ask(now time.Time, work balancer.Request, isChat bool) {
 	if isChat {
 		s.asked[work.ID] = now
 	}
 
-	if _, decision := s.pool.Ask(now, "node", work); decision == balancer.Granted {
+	if _, decision := s.pool.Acquire(now, "node", work); decision == balancer.Granted {
 		s.place(now, work.ID, isChat)
 	}
 }
@@ -139,14 +139,14 @@
 	granted(t, p, at(0), chat("r1"))
 
 	for i := range 5 {
-		_, _ = p.Ask(at(time.Duration(i)*time.Millisecond), "node", notes(fmt.Sprint("other", i), fmt.Sprint("s", i)))
+		_, _ = p.Acquire(at(time.Duration(i)*time.Millisecond), "node", notes(fmt.Sprint("other", i), fmt.Sprint("s", i)))
 	}
 
-	_, _ = p.Ask(at(10*time.Millisecond), "node", notes("same", "known"))
-	p.First(at(100*time.Millisecond), "r0", nil)
-	p.End(at(200*time.Millisecond), "r0", balancer.Served)
+	_, _ = p.Acquire(at(10*time.Millisecond), "node", notes("same", "known"))
+	p.RecordFirstEvent(at(100*time.Millisecond), "r0", nil)
+	p.RecordEnd(at(200*time.Millisecond), "r0", balancer.Served)
 
-	grants := p.Next(at(200 * time.Millisecond))
+	grants := p.GrantQueued(at(200 * time.Millisecond))
 	assert.Equal(t, len(grants), 1)
 	assert.Equal(t, grants[0].ID, "same")
 }
@@ -157,16 +157,16 @@
 func TestMatchingPassesNobodyForLong(t *testing.T) {
 	p := engines(1, 1)
 	granted(t, p, at(0), notes("r", "known"))
-	p.First(at(50*time.Millisecond), "r", nil)
+	p.RecordFirstEvent(at(50*time.Millisecond), "r", nil)
 
 	// Neither of them is late: such requests go behind others.
 	unknown, late := notes("unknown", "s"), notes("late", "known")
 	unknown.Target, late.Target = 5*time.Second, 5*time.Second
-	_, _ = p.Ask(at(0), "node", unknown)
-	_, _ = p.Ask(at(1500*time.Millisecond), "node", late)
-	p.End(at(1600*time.Millisecond), "r", balancer.Served)
+	_, _ = p.Acquire(at(0), "node", unknown)
+	_, _ = p.Acquire(at(1500*time.Millisecond), "node", late)
+	p.RecordEnd(at(1600*time.Millisecond), "r", balancer.Served)
 
-	grants := p.Next(at(1600 * time.Millisecond))
+	grants := p.GrantQueued(at(1600 * time.Millisecond))
 	assert.Equal(t, grants[0].ID, "unknown")
 }
 
@@ -176,12 +176,12 @@
 func TestFreshRequestsGoBeforeThoseThatAreLateAnyway(t *testing.T) {
 	p := engines(1, 1)
 	granted(t, p, at(0), notes("r", "s"))
-	p.First(at(50*time.Millisecond), "r", nil)
-	_, _ = p.Ask(at(0), "node", notes("late", "s"))
-	_, _ = p.Ask(at(700*time.Millisecond), "node", notes("fresh", "s"))
-	p.End(at(800*time.Millisecond), "r", balancer.Served)
+	p.RecordFirstEvent(at(50*time.Millisecond), "r", nil)
+	_, _ = p.Acquire(at(0), "node", notes("late", "s"))
+	_, _ = p.Acquire(at(700*time.Millisecond), "node", notes("fresh", "s"))
+	p.RecordEnd(at(800*time.Millisecond), "r", balancer.Served)
 
-	grants := p.Next(at(800 * time.Millisecond))
+	grants := p.GrantQueued(at(800 * time.Millisecond))
 	assert.Equal(t, len(grants), 1)
 	assert.Equal(t, grants[0].ID, "fresh")
 }
@@ -194,19 +194,19 @@
 	granted(t, p, at(0), notes("r", "s"))
 
 	for i := range 5 {
-		_, _ = p.Ask(at(time.Duration(i)*time.Millisecond), "node", notes(fmt.Sprint("q", i), "s"))
+		_, _ = p.Acquire(at(time.Duration(i)*time.Millisecond), "node", notes(fmt.Sprint("q", i), "s"))
 	}
 
-	assert.Equal(t, len(p.Next(at(300*time.Millisecond))), 0)
+	assert.Equal(t, len(p.GrantQueued(at(300*time.Millisecond))), 0)
 
 	var refused []string
-	for _, g := range p.Next(at(600 * time.Millisecond)) {
+	for _, g := range p.GrantQueued(at(600 * time.Millisecond)) {
 		assert.Assert(t, g.Refused)
 		refused = append(refused, g.ID)
 	}
 
 	assert.DeepEqual(t, refused, []string{"q0", "q1", "q2", "q3"})
-	assert.Equal(t, p.Waiting(), 1)
+	assert.Equal(t, p.QueueLength(), 1)
 }
 
 // Symptom: under overload requests wait for a second to be refused in the end, and are no better off than at once.
@@ -217,28 +217,28 @@
 
 	for i := range 16 {
 		granted(t, p, at(0), notes(fmt.Sprint("a", i), "s"))
-		p.First(at(0), fmt.Sprint("a", i), nil)
+		p.RecordFirstEvent(at(0), fmt.Sprint("a", i), nil)
 	}
 
 	for i := range 16 {
-		p.End(at(time.Second), fmt.Sprint("a", i), balancer.Served)
+		p.RecordEnd(at(time.Second), fmt.Sprint("a", i), balancer.Served)
 		granted(t, p, at(time.Second), notes(fmt.Sprint("b", i), "s"))
-		p.First(at(time.Second), fmt.Sprint("b", i), nil)
+		p.RecordFirstEvent(at(time.Second), fmt.Sprint("b", i), nil)
 	}
 
 	// Sixteen are served in a second: 14 in the 900 ms that a note may wait.
 	decisions := map[balancer.Decision]int{}
 
 	for i := range 40 {
-		choice, decision := p.Ask(at(1001*time.Millisecond), "node", notes(fmt.Sprint("n", i), "s"))
+		choice, decision := p.Acquire(at(1001*time.Millisecond), "node", notes(fmt.Sprint("n", i), "s"))
 		decisions[decision]++
-		assert.Equal(t, choice.Waiting > 900, decision == balancer.Refused)
+		assert.Equal(t, choice.ExpectedWaitMS > 900, decision == balancer.Refused)
 	}
 
 	assert.DeepEqual(t, decisions, map[balancer.Decision]int{balancer.Queued: 15, balancer.Refused: 25})
 
 	// What is more urgent passes them.
-	_, decision := p.Ask(at(1002*time.Millisecond), "node", chat("chat"))
+	_, decision := p.Acquire(at(1002*time.Millisecond), "node", chat("chat"))
 	assert.Equal(t, decision, balancer.Queued)
 }
 
@@ -247,15 +247,15 @@
 // Cause: only an engine with nothing to read took a prompt that is longer than what may wait there.
 func TestLongPromptsAreNotPassedForever(t *testing.T) {
 	p := engines(1, 16)
-	small := balancer.Work{ID: "first", Priority: notesPriority, PromptTokens: 4000, Limit: 6 * time.Second, Target: 800 * time.Millisecond}
+	small := balancer.Request{ID: "first", Priority: notesPriority, PromptTokens: 4000, TimeLimit: 6 * time.Second, Target: 800 * time.Millisecond}
 	granted(t, p, at(0), small)
 
 	// 36 ms wait at the engine, of 130 that may; this one takes 270.
-	long := balancer.Work{ID: "long", Priority: notesPriority, PromptTokens: 30_000, Limit: 6 * time.Second, Target: 800 * time.Millisecond}
+	long := balancer.Request{ID: "long", Priority: notesPriority, PromptTokens: 30_000, TimeLimit: 6 * time.Second, Target: 800 * time.Millisecond}
 	granted(t, p, at(time.Millisecond), long)
 
 	small.ID = "second"
-	_, decision := p.Ask(at(2*time.Millisecond), "node", small)
+	_, decision := p.Acquire(at(2*time.Millisecond), "node", small)
 	assert.Equal(t, decision, balancer.Queued)
 }
 
--- a/internal/gateway/balancer/pool.go
+++ b/internal/gateway/balancer/pool.go
@@ -40,8 +40,8 @@
 	Upstream string `json:"u"`
 	Address  string `json:"a"`
 	// Loss is the expected loss, Waiting the predicted time to the first event in milliseconds; both for the log.
-	Loss    float64 `json:"l"`
-	Waiting float64 `json:"w"`
+	Loss           float64 `json:"l"`
+	ExpectedWaitMS float64 `json:"w"`
 }
 
 // Pool decides for the upstreams of one service. It is safe for concurrent use.
@@ -104,7 +104,7 @@
 
 // choose picks the server with the least expected loss and counts the request there; p.mu is held.
 // It returns false when no server has room for it.
-func (p *Pool) choose(now time.Time, work Work) (Choice, bool) {
+func (p *Pool) choose(now time.Time, work Request) (Choice, bool) {
 	var (
 		best     *server
 		bestLoss = math.Inf(1)
@@ -136,20 +136,20 @@
 	r := p.begin(now, best, work)
 	p.demand.grant(now)
 
-	return Choice{Upstream: best.ID, Address: best.Address, Loss: bestLoss, Waiting: r.expected}, true
+	return Choice{Upstream: best.ID, Address: best.Address, Loss: bestLoss, ExpectedWaitMS: r.expected}, true
 }
 
-// Begin counts a request that another node's pool sent to the upstream.
-func (p *Pool) Begin(now time.Time, upstream string, work Work) {
+// AddRunning counts a request that another node's pool sent to the upstream.
+func (p *Pool) AddRunning(now time.Time, upstream string, work Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
 	_ = p.beginAt(now, upstream, work)
 }
 
-// Continue counts a request whose answer began before this pool heard of it, so that its first event says nothing of
+// AddAnswering counts a request whose answer began before this pool heard of it, so that its first event says nothing of
 // the time that it took.
-func (p *Pool) Continue(now time.Time, upstream string, work Work) {
+func (p *Pool) AddAnswering(now time.Time, upstream string, work Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
@@ -164,7 +164,7 @@
 }
 
 // beginAt counts a request at a named upstream; nil if that isn't listed.
-func (p *Pool) beginAt(now time.Time, upstream string, work Work) *sent {
+func (p *Pool) beginAt(now time.Time, upstream string, work Request) *sent {
 	p.expire(now)
 	// It may wait here too: it asked this node before it got its upstream from another one.
 	p.unqueue(work.ID)
@@ -178,7 +178,7 @@
 	return nil
 }
 
-func (p *Pool) begin(now time.Time, s *server, work Work) *sent {
+func (p *Pool) begin(now time.Time, s *server, work Request) *sent {
 	if former, ok := p.requests[work.ID]; ok {
 		p.demand.running--
 		former.server.remove(former, Abandoned, now, false)
@@ -188,7 +188,7 @@
 		work:        work,
 		server:      s,
 		at:          now,
-		until:       now.Add(work.Limit + endGrace),
+		until:       now.Add(work.TimeLimit + endGrace),
 		reading:     s.reading(&work),
 		expected:    p.expected(now, s, &work),
 		speed:       s.speedNow(now),
@@ -208,8 +208,8 @@
 	return r
 }
 
-// First records that the first event of the request came, with the load that the server told; nil if none.
-func (p *Pool) First(now time.Time, id string, load *Load) {
+// RecordFirstEvent records that the first event of the request came, with the load that the server told; nil if none.
+func (p *Pool) RecordFirstEvent(now time.Time, id string, load *Load) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
@@ -226,8 +226,8 @@
 	}
 }
 
-// Leave keeps new requests from an upstream, until it is listed with another start.
-func (p *Pool) Leave(upstream string) {
+// MarkLeaving keeps new requests from an upstream, until it is listed with another start.
+func (p *Pool) MarkLeaving(upstream string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
@@ -238,8 +238,8 @@
 	}
 }
 
-// End records that the request left its upstream.
-func (p *Pool) End(now time.Time, id string, outcome Outcome) {
+// RecordEnd records that the request left its upstream.
+func (p *Pool) RecordEnd(now time.Time, id string, outcome Outcome) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
@@ -299,13 +299,13 @@
 }
 
 // takes says whether the server may get the request now.
-func (p *Pool) takes(now time.Time, s *server, work *Work) bool {
+func (p *Pool) takes(now time.Time, s *server, work *Request) bool {
 	return p.hasRoom(now, s, work) && !p.isBusy(now, s, work)
 }
 
 // isBusy says whether as many prompts wait at the engine as it needs for the next moments.
-func (p *Pool) isBusy(now time.Time, s *server, work *Work) bool {
-	if s.engine.CacheTokens == 0 || work.Overdue && p.isInTime(now, s, work) {
+func (p *Pool) isBusy(now time.Time, s *server, work *Request) bool {
+	if s.engine.CacheTokens == 0 || work.AcceptAny && p.isInTime(now, s, work) {
 		return false
 	}
 
@@ -319,12 +319,12 @@
 // may go where more prompts wait than usual, but only for that: sent there late, it would make all that come after it
 // late too, and hold memory for prompts that others share until its caller leaves. Under an overload of 90 engines this
 // brings 15% more of what can be had; before, 47,000 prompt tokens waited at the median of the engines that were chosen.
-func (p *Pool) isInTime(now time.Time, s *server, work *Work) bool {
+func (p *Pool) isInTime(now time.Time, s *server, work *Request) bool {
 	return p.expected(now, s, work) <= milliseconds(work.Target-work.Waited)
 }
 
 // hasRoom says whether the server has a place and memory for the request.
-func (p *Pool) hasRoom(now time.Time, s *server, work *Work) bool {
+func (p *Pool) hasRoom(now time.Time, s *server, work *Request) bool {
 	if !s.usable(now) || slices.Contains(work.Excluded, s.ID) || s.onTrial() && len(s.running) > 0 {
 		return false
 	}
@@ -345,7 +345,7 @@
 
 // reserve is the number of places at an engine that are kept from the work for more urgent requests. Where long answers
 // take all places, a chat waits for the end of one, which is longer than its whole target.
-func (p *Pool) reserve(now time.Time, s *server, work *Work) float64 {
+func (p *Pool) reserve(now time.Time, s *server, work *Request) float64 {
 	if work.Priority <= 0 || now.Sub(p.urgentAt) > reserveTime {
 		return 0
 	}
--- a/internal/gateway/balancer/pool_test.go
+++ b/internal/gateway/balancer/pool_test.go
@@ -38,25 +38,25 @@
 	return p
 }
 
-func notes(id string, session string) balancer.Work {
-	return balancer.Work{
-		ID: id, Priority: notesPriority, PromptTokens: 9000, OutputTokens: 60, Limit: 6 * time.Second,
-		Parts:  []balancer.Part{{ID: session, Tokens: 6300}, {ID: id, Tokens: 2700}},
-		Target: 800 * time.Millisecond, GapLimit: 500 * time.Millisecond,
+func notes(id string, session string) balancer.Request {
+	return balancer.Request{
+		ID: id, Priority: notesPriority, PromptTokens: 9000, OutputTokens: 60, TimeLimit: 6 * time.Second,
+		PromptParts: []balancer.PromptPart{{ID: session, Tokens: 6300}, {ID: id, Tokens: 2700}},
+		Target:      800 * time.Millisecond, GapLimit: 500 * time.Millisecond,
 	}
 }
 
-func chat(id string) balancer.Work {
-	return balancer.Work{
-		ID: id, Priority: chatPriority, PromptTokens: 700, OutputTokens: 300, Limit: 15 * time.Second,
+func chat(id string) balancer.Request {
+	return balancer.Request{
+		ID: id, Priority: chatPriority, PromptTokens: 700, OutputTokens: 300, TimeLimit: 15 * time.Second,
 		Target: 150 * time.Millisecond, GapLimit: 120 * time.Millisecond,
 	}
 }
 
-func granted(t *testing.T, p *balancer.Pool, now time.Time, work balancer.Work) string {
+func granted(t *testing.T, p *balancer.Pool, now time.Time, work balancer.Request) string {
 	t.Helper()
 
-	choice, decision := p.Ask(now, "node", work)
+	choice, decision := p.Acquire(now, "node", work)
 	assert.Equal(t, decision, balancer.Granted)
 
 	return choice.Upstream
@@ -64,13 +64,13 @@
 
 // serveAll asks for all of the work at once and returns where each request went. Engines have read the prompts that
 // they got 90 ms later; those that wait get room then.
-func serveAll(t *testing.T, p *balancer.Pool, now time.Time, burst []balancer.Work) map[string]string {
+func serveAll(t *testing.T, p *balancer.Pool, now time.Time, burst []balancer.Request) map[string]string {
 	t.Helper()
 
 	placed := map[string]string{}
 
 	for _, work := range burst {
-		choice, decision := p.Ask(now, "node", work)
+		choice, decision := p.Acquire(now, "node", work)
 		assert.Assert(t, decision != balancer.Refused)
 
 		if decision == balancer.Granted {
@@ -82,10 +82,10 @@
 		now = now.Add(90 * time.Millisecond)
 
 		for id := range placed {
-			p.First(now, id, nil)
+			p.RecordFirstEvent(now, id, nil)
 		}
 
-		grants := p.Next(now)
+		grants := p.GrantQueued(now)
 		assert.Assert(t, len(grants) > 0, "nothing gets room")
 
 		for _, g := range grants {
@@ -108,13 +108,13 @@
 		now := at(time.Duration(i+1) * 100 * time.Millisecond)
 		id := fmt.Sprint("r", i)
 		granted(t, p, now, notes(id, fmt.Sprint("s", i)))
-		p.First(now.Add(90*time.Millisecond), id, nil)
-		p.End(now.Add(95*time.Millisecond), id, balancer.Served)
+		p.RecordFirstEvent(now.Add(90*time.Millisecond), id, nil)
+		p.RecordEnd(now.Add(95*time.Millisecond), id, balancer.Served)
 	}
 
 	used := 0
 
-	var burst []balancer.Work
+	var burst []balancer.Request
 	for i := range 10 {
 		burst = append(burst, notes(fmt.Sprint("late", i), fmt.Sprint("l", i)))
 	}
@@ -139,8 +139,8 @@
 		now := at(300*time.Millisecond + time.Duration(i)*10*time.Millisecond)
 		id := fmt.Sprint("r", i)
 		assert.Assert(t, granted(t, p, now, chat(id)) != silent)
-		p.First(now.Add(5*time.Millisecond), id, nil)
-		p.End(now.Add(6*time.Millisecond), id, balancer.Served)
+		p.RecordFirstEvent(now.Add(5*time.Millisecond), id, nil)
+		p.RecordEnd(now.Add(6*time.Millisecond), id, balancer.Served)
 	}
 
 	// It gets a trial request later on, else nobody would learn that it is back.
@@ -162,17 +162,17 @@
 	for i := range 20 {
 		now := at(time.Duration(i) * 200 * time.Millisecond)
 		id := fmt.Sprint("r", i)
-		choice, _ := p.Ask(now, "node", notes(id, fmt.Sprint("s", i)))
-		p.First(now.Add(time.Duration(choice.Waiting*float64(time.Millisecond))), id, nil)
-		p.End(now.Add(150*time.Millisecond), id, balancer.Served)
+		choice, _ := p.Acquire(now, "node", notes(id, fmt.Sprint("s", i)))
+		p.RecordFirstEvent(now.Add(time.Duration(choice.ExpectedWaitMS*float64(time.Millisecond))), id, nil)
+		p.RecordEnd(now.Add(150*time.Millisecond), id, balancer.Served)
 	}
 
-	before, _ := p.Ask(at(5*time.Second), "node", notes("before", "x"))
-	p.First(at(8*time.Second), "before", nil)
-	p.End(at(8*time.Second), "before", balancer.Served)
+	before, _ := p.Acquire(at(5*time.Second), "node", notes("before", "x"))
+	p.RecordFirstEvent(at(8*time.Second), "before", nil)
+	p.RecordEnd(at(8*time.Second), "before", balancer.Served)
 
-	after, _ := p.Ask(at(8*time.Second), "node", notes("after", "y"))
-	assert.Assert(t, after.Waiting < 2*before.Waiting, "%.0f ms before, %.0f ms after", before.Waiting, after.Waiting)
+	after, _ := p.Acquire(at(8*time.Second), "node", notes("after", "y"))
+	assert.Assert(t, after.ExpectedWaitMS < 2*before.ExpectedWaitMS, "%.0f ms before, %.0f ms after", before.ExpectedWaitMS, after.ExpectedWaitMS)
 }
 
 // Load: a burst of long prompts beside short chats, as at the close of a shop's day.
@@ -187,7 +187,7 @@
 
 	beside := 0
 
-	var burst []balancer.Work
+	var burst []balancer.Request
 	for i := range 6 {
 		burst = append(burst, notes(fmt.Sprint("n", i), fmt.Sprint("s", i)))
 	}
@@ -207,15 +207,15 @@
 func TestRequestsOfASessionShareAnEngine(t *testing.T) {
 	p := engines(6, 48)
 	first := granted(t, p, at(0), notes("n0", "session"))
-	p.First(at(100*time.Millisecond), "n0", nil)
-	p.End(at(time.Second), "n0", balancer.Served)
+	p.RecordFirstEvent(at(100*time.Millisecond), "n0", nil)
+	p.RecordEnd(at(time.Second), "n0", balancer.Served)
 
 	for i := 1; i < 5; i++ {
 		now := at(time.Duration(i) * time.Second)
 		id := fmt.Sprint("n", i)
 		assert.Equal(t, granted(t, p, now, notes(id, "session")), first)
-		p.First(now.Add(50*time.Millisecond), id, nil)
-		p.End(now.Add(500*time.Millisecond), id, balancer.Served)
+		p.RecordFirstEvent(now.Add(50*time.Millisecond), id, nil)
+		p.RecordEnd(now.Add(500*time.Millisecond), id, balancer.Served)
 	}
 }
 
@@ -227,20 +227,20 @@
 	granted(t, p, at(0), notes("r0", "s"))
 	granted(t, p, at(0), notes("r1", "s"))
 
-	_, decision := p.Ask(at(0), "node", notes("low", "s"))
+	_, decision := p.Acquire(at(0), "node", notes("low", "s"))
 	assert.Equal(t, decision, balancer.Queued)
-	_, decision = p.Ask(at(time.Millisecond), "node", chat("high"))
+	_, decision = p.Acquire(at(time.Millisecond), "node", chat("high"))
 	assert.Equal(t, decision, balancer.Queued)
-	assert.Equal(t, p.Waiting(), 2)
-	assert.Equal(t, len(p.Next(at(2*time.Millisecond))), 0)
+	assert.Equal(t, p.QueueLength(), 2)
+	assert.Equal(t, len(p.GrantQueued(at(2*time.Millisecond))), 0)
 
-	p.End(at(10*time.Millisecond), "r0", balancer.Served)
-	grants := p.Next(at(10 * time.Millisecond))
+	p.RecordEnd(at(10*time.Millisecond), "r0", balancer.Served)
+	grants := p.GrantQueued(at(10 * time.Millisecond))
 	assert.Equal(t, len(grants), 1)
 	assert.Equal(t, grants[0].ID, "high")
 
 	// Its owner may ask again, when the grant was lost on the way.
-	choice, decision := p.Ask(at(20*time.Millisecond), "node", chat("high"))
+	choice, decision := p.Acquire(at(20*time.Millisecond), "node", chat("high"))
 	assert.Equal(t, decision, balancer.Granted)
 	assert.Equal(t, choice.Upstream, "a")
 }
@@ -251,11 +251,11 @@
 func TestOldRequestsMoveUp(t *testing.T) {
 	p := engines(1, 1)
 	granted(t, p, at(0), chat("r"))
-	_, _ = p.Ask(at(0), "node", notes("old", "s"))
-	_, _ = p.Ask(at(3100*time.Millisecond), "node", chat("new"))
+	_, _ = p.Acquire(at(0), "node", notes("old", "s"))
+	_, _ = p.Acquire(at(3100*time.Millisecond), "node", chat("new"))
 
-	p.End(at(3200*time.Millisecond), "r", balancer.Served)
-	grants := p.Next(at(3200 * time.Millisecond))
+	p.RecordEnd(at(3200*time.Millisecond), "r", balancer.Served)
+	grants := p.GrantQueued(at(3200 * time.Millisecond))
 	assert.Equal(t, grants[0].ID, "old")
 }
 
@@ -265,10 +265,10 @@
 func TestRequestsOfALostNodeExpire(t *testing.T) {
 	p := engines(1, 1)
 	granted(t, p, at(0), notes("lost", "s"))
-	_, decision := p.Ask(at(6*time.Second), "node", notes("next", "s"))
+	_, decision := p.Acquire(at(6*time.Second), "node", notes("next", "s"))
 	assert.Equal(t, decision, balancer.Queued)
 
-	assert.Equal(t, len(p.Next(at(8*time.Second))), 1)
+	assert.Equal(t, len(p.GrantQueued(at(8*time.Second))), 1)
 }
 
 // Symptom: engines are overrun while some nodes are cut off from the holder.
@@ -278,11 +278,11 @@
 	p := engines(1, 3)
 	granted(t, p, at(0), notes("r0", "s"))
 	granted(t, p, at(0), notes("r1", "s"))
-	p.First(at(50*time.Millisecond), "r0", &balancer.Load{Running: 5, Waiting: 1})
+	p.RecordFirstEvent(at(50*time.Millisecond), "r0", &balancer.Load{Running: 5, Waiting: 1})
 
-	_, decision := p.Ask(at(60*time.Millisecond), "node", notes("r2", "s"))
+	_, decision := p.Acquire(at(60*time.Millisecond), "node", notes("r2", "s"))
 	assert.Equal(t, decision, balancer.Queued)
-	assert.Equal(t, len(p.Next(at(3*time.Second))), 1)
+	assert.Equal(t, len(p.GrantQueued(at(3*time.Second))), 1)
 }
 
 func TestNothingGoesToServersThatLeaveOrFailedTheRequest(t *testing.T) {
@@ -290,11 +290,11 @@
 	p.SetUpstreams(start, []balancer.Upstream{{ID: "a", Slots: 6, Draining: true}, {ID: "b", Slots: 6}, {ID: "c", Slots: 6}}, balancer.Engine{})
 
 	for i := range 5 {
-		work := balancer.Work{ID: fmt.Sprint(i), Target: 100 * time.Millisecond, Limit: time.Second, Excluded: []string{"b"}}
+		work := balancer.Request{ID: fmt.Sprint(i), Target: 100 * time.Millisecond, TimeLimit: time.Second, Excluded: []string{"b"}}
 		assert.Equal(t, granted(t, p, at(0), work), "c")
 	}
 
-	_, decision := p.Ask(at(0), "node", balancer.Work{ID: "x", Limit: time.Second, Excluded: []string{"b", "c"}})
+	_, decision := p.Acquire(at(0), "node", balancer.Request{ID: "x", TimeLimit: time.Second, Excluded: []string{"b", "c"}})
 	assert.Equal(t, decision, balancer.Refused)
 }
 
@@ -303,17 +303,17 @@
 // Cause: being unreachable only added to the loss, and empty slots drew all that waited.
 func TestUnreachableServerGetsNothingForAWhile(t *testing.T) {
 	p := newPool(2, 6, balancer.Engine{})
-	call := func(id string) balancer.Work {
-		return balancer.Work{ID: id, Target: 2 * time.Second, Limit: 5 * time.Second}
+	call := func(id string) balancer.Request {
+		return balancer.Request{ID: id, Target: 2 * time.Second, TimeLimit: 5 * time.Second}
 	}
 
 	down := granted(t, p, at(0), call("first"))
-	p.End(at(time.Millisecond), "first", balancer.Unreachable)
+	p.RecordEnd(at(time.Millisecond), "first", balancer.Unreachable)
 
 	waiting := 0
 
 	for i := range 30 {
-		choice, decision := p.Ask(at(10*time.Millisecond), "node", call(fmt.Sprint("r", i)))
+		choice, decision := p.Acquire(at(10*time.Millisecond), "node", call(fmt.Sprint("r", i)))
 		assert.Assert(t, choice.Upstream != down)
 
 		if decision == balancer.Queued {
@@ -322,8 +322,8 @@
 	}
 
 	assert.Equal(t, waiting, 30-6-8)
-	assert.Equal(t, len(p.Next(at(200*time.Millisecond))), 0)
-	assert.Assert(t, len(p.Next(at(400*time.Millisecond))) > 0)
+	assert.Equal(t, len(p.GrantQueued(at(200*time.Millisecond))), 0)
+	assert.Assert(t, len(p.GrantQueued(at(400*time.Millisecond))) > 0)
 }
 
 // Symptom: after a crash of a quarter of the engines each request is refused up to four times by
@@ -332,11 +332,11 @@
 // Cause: its refusals only added to the loss, and its empty slots drew all that waited.
 func TestReplacedServerGetsNothingUntilItMayBeListedNoMore(t *testing.T) {
 	p := newPool(2, 2, balancer.Engine{})
-	replaced := granted(t, p, at(0), balancer.Work{ID: "first", Limit: 5 * time.Second})
-	p.End(at(time.Millisecond), "first", balancer.Replaced)
+	replaced := granted(t, p, at(0), balancer.Request{ID: "first", TimeLimit: 5 * time.Second})
+	p.RecordEnd(at(time.Millisecond), "first", balancer.Replaced)
 
 	for i := range 10 {
-		choice, _ := p.Ask(at(1500*time.Millisecond), "node", balancer.Work{ID: fmt.Sprint("r", i), Limit: 5 * time.Second})
+		choice, _ := p.Acquire(at(1500*time.Millisecond), "node", balancer.Request{ID: fmt.Sprint("r", i), TimeLimit: 5 * time.Second})
 		assert.Assert(t, choice.Upstream != replaced)
 	}
 }
@@ -359,15 +359,15 @@
 	p.SetUpstreams(at(time.Second), []balancer.Upstream{second}, engine)
 	assert.Equal(t, p.Report(at(time.Second))[0].Running, 0)
 
-	p.First(at(1100*time.Millisecond), "r1", nil)
-	p.End(at(1200*time.Millisecond), "r1", balancer.Failed)
+	p.RecordFirstEvent(at(1100*time.Millisecond), "r1", nil)
+	p.RecordEnd(at(1200*time.Millisecond), "r1", balancer.Failed)
 	report := p.Report(at(1200 * time.Millisecond))[0]
 	assert.Equal(t, report.Running, 0)
 	assert.Equal(t, report.Failures, 0.0)
 	assert.Equal(t, report.BacklogTokens, 0.0)
 
-	choice, decision := p.Ask(at(1300*time.Millisecond), "node", notes("r3", "s"))
+	choice, decision := p.Acquire(at(1300*time.Millisecond), "node", notes("r3", "s"))
 	assert.Equal(t, decision, balancer.Granted)
 	// All of the prompt must be read: 9,000 tokens and more.
-	assert.Assert(t, choice.Waiting > 80, "%.0f ms", choice.Waiting)
+	assert.Assert(t, choice.ExpectedWaitMS > 80, "%.0f ms", choice.ExpectedWaitMS)
 }
--- a/internal/gateway/balancer/queue.go
+++ b/internal/gateway/balancer/queue.go
@@ -49,7 +49,7 @@
 
 // queued is a request that waits until a server has room for it.
 type queued struct {
-	work  Work
+	work  Request
 	owner string
 	since time.Time
 	// until is when it is refused, deadline when its time is over if it gets room before.
@@ -70,8 +70,8 @@
 }
 
 // baseRank is the rank of a request that has not waited.
-func baseRank(work *Work) float64 {
-	return float64(work.Priority) + min(orderRank*float64(work.Order), mostOrderRank)
+func baseRank(work *Request) float64 {
+	return float64(work.Priority) + min(orderRank*float64(work.OrganisationRank), mostOrderRank)
 }
 
 // late says that the request has waited too long to meet its target.
@@ -79,16 +79,16 @@
 	return q.work.Target > 0 && now.Sub(q.since) > time.Duration(lateWait*float64(q.work.Target))
 }
 
-// Ask picks an upstream for the work, or queues it where none has room now. Asked again for a request
+// Acquire picks an upstream for the work, or queues it where none has room now. Asked again for a request
 // that has an upstream or waits already, it says the same again: its answer may have been lost.
-func (p *Pool) Ask(now time.Time, owner string, work Work) (Choice, Decision) {
+func (p *Pool) Acquire(now time.Time, owner string, work Request) (Choice, Decision) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
 	p.expire(now)
 
 	if r, ok := p.requests[work.ID]; ok {
-		return Choice{Upstream: r.server.ID, Address: r.server.Address, Waiting: r.expected}, Granted
+		return Choice{Upstream: r.server.ID, Address: r.server.Address, ExpectedWaitMS: r.expected}, Granted
 	}
 
 	if p.queuedIDs[work.ID] != nil {
@@ -106,10 +106,10 @@
 	}
 
 	if wait, ok := p.prospect(now, &work); !ok {
-		return Choice{Waiting: milliseconds(wait)}, Refused
+		return Choice{ExpectedWaitMS: milliseconds(wait)}, Refused
 	}
 
-	q := &queued{work: work, owner: owner, since: now, until: now.Add(patience(&work)), deadline: now.Add(work.Limit)}
+	q := &queued{work: work, owner: owner, since: now, until: now.Add(patience(&work)), deadline: now.Add(work.TimeLimit)}
 	q.place = q.rank(now)
 	p.queue = append(p.queue, q)
 	p.queuedIDs[work.ID] = q
@@ -117,8 +117,8 @@
 	return Choice{}, Queued
 }
 
-// Next returns the waiting requests for which there is room now, and those that are refused.
-func (p *Pool) Next(now time.Time) []Grant {
+// GrantQueued returns the waiting requests for which there is room now, and those that are refused.
+func (p *Pool) GrantQueued(now time.Time) []Grant {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
@@ -175,8 +175,8 @@
 	slices.SortStableFunc(p.queue, func(a, b *queued) int { return cmp.Compare(a.place, b.place) })
 }
 
-// Waiting is the number of requests in the queue.
-func (p *Pool) Waiting() int {
+// QueueLength is the number of requests in the queue.
+func (p *Pool) QueueLength() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
--- a/internal/gateway/balancer/report.go
+++ b/internal/gateway/balancer/report.go
@@ -23,8 +23,8 @@
 	Draining  bool    `json:"draining,omitempty"`
 }
 
-// Figures returns what the pool has learned of how fast its servers work.
-func (p *Pool) Figures() estimator.Estimates {
+// Estimates returns what the pool has learned of how fast its servers work.
+func (p *Pool) Estimates() estimator.Estimates {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
--- a/internal/gateway/balancer/sent.go
+++ b/internal/gateway/balancer/sent.go
@@ -4,7 +4,7 @@
 
 // sent is one request at a server.
 type sent struct {
-	work Work
+	work Request
 	// server is where it runs.
 	server *server
 	at     time.Time
--- a/internal/gateway/balancer/server.go
+++ b/internal/gateway/balancer/server.go
@@ -146,10 +146,10 @@
 
 // missingTokens is what the server would have to read of the prompt: a part is
 // found in its cache only if all parts before it are.
-func (s *server) missingTokens(work *Work) int {
+func (s *server) missingTokens(work *Request) int {
 	missing := work.PromptTokens
 
-	for _, part := range work.Parts {
+	for _, part := range work.PromptParts {
 		if !s.parts.Contains(part.ID) {
 			break
 		}
@@ -161,7 +161,7 @@
 }
 
 // reading is the number of prompt tokens that the server must read for the work; a call of a plain service counts as one.
-func (s *server) reading(work *Work) float64 {
+func (s *server) reading(work *Request) float64 {
 	if s.engine.CacheTokens == 0 {
 		return 1
 	}
@@ -179,8 +179,8 @@
 }
 
 // remember notes that the server's cache gets the parts of a prompt.
-func (s *server) remember(work *Work) {
-	for _, part := range work.Parts {
+func (s *server) remember(work *Request) {
+	for _, part := range work.PromptParts {
 		if !s.parts.Contains(part.ID) {
 			s.cachedTokens += part.Tokens
 		}
@@ -234,10 +234,10 @@
 
 // added is the memory in tokens that the work takes up in addition to that of the running requests. Counted whole for each
 // request, prompts that share four fifths filled an engine that could hold three times as many, and went where they had to be read anew.
-func (s *server) added(work *Work) int {
+func (s *server) added(work *Request) int {
 	tokens := work.tokens()
 
-	for _, part := range work.Parts {
+	for _, part := range work.PromptParts {
 		if s.sharers[part.ID] > 0 {
 			tokens -= part.Tokens
 		}
@@ -253,7 +253,7 @@
 	s.tokens += added
 	s.meanTokens += meanGain * (float64(added) - s.meanTokens)
 
-	for _, part := range r.work.Parts {
+	for _, part := range r.work.PromptParts {
 		s.sharers[part.ID]++
 	}
 
@@ -317,7 +317,7 @@
 
 func (s *server) remove(r *sent, outcome Outcome, now time.Time, mayEject bool) {
 	delete(s.running, r.work.ID)
-	for _, part := range r.work.Parts {
+	for _, part := range r.work.PromptParts {
 		s.sharers[part.ID]--
 
 		if s.sharers[part.ID] == 0 {
--- a/internal/gateway/balancer/types.go
+++ b/internal/gateway/balancer/types.go
@@ -14,22 +14,22 @@
 
 import "time"
 
-// Part is one shared part of a prompt.
-type Part struct {
+// PromptPart is one shared part of a prompt.
+type PromptPart struct {
 	ID     string `json:"i"`
 	Tokens int    `json:"t"`
 }
 
-// Work is a request as the balancer sees it.
-type Work struct {
+// Request is a request as the balancer sees it.
+type Request struct {
 	// ID is unique among the requests of all nodes.
 	ID string `json:"id"`
 	// Priority is that of the request's class, 0 first.
 	Priority int `json:"p"`
-	// Order decides among requests of one priority, 0 first.
-	Order int `json:"r,omitempty"`
-	// Parts are the prompt's parts in their order; empty for plain services.
-	Parts []Part `json:"c,omitempty"`
+	// OrganisationRank decides among requests of one priority, 0 first.
+	OrganisationRank int `json:"r,omitempty"`
+	// PromptParts are the prompt's parts in their order; empty for plain services.
+	PromptParts []PromptPart `json:"c,omitempty"`
 	// PromptTokens counts all of the prompt; at least the sum of Parts.
 	PromptTokens int `json:"n,omitempty"`
 	// OutputTokens is the largest number of tokens to generate.
@@ -38,10 +38,10 @@
 	Target time.Duration `json:"t"`
 	// GapLimit is the longest pause between events; 0 for requests that aren't streams.
 	GapLimit time.Duration `json:"g,omitempty"`
-	// Limit is the time after which the request is over in any case.
-	Limit time.Duration `json:"l"`
-	// Overdue says that the request has waited so long that any upstream in time is better than more waiting.
-	Overdue bool `json:"-"`
+	// TimeLimit is the time after which the request is over in any case.
+	TimeLimit time.Duration `json:"l"`
+	// AcceptAny says that the request has waited so long that any upstream in time is better than more waiting.
+	AcceptAny bool `json:"-"`
 	// Waited is how long it has waited in the pool.
 	Waited time.Duration `json:"-"`
 	// Excluded are upstreams that failed the request before.
@@ -49,7 +49,7 @@
 }
 
 // tokens is the memory that the request may come to take up.
-func (w *Work) tokens() int {
+func (w *Request) tokens() int {
 	return w.PromptTokens + w.OutputTokens
 }
 
--- a/internal/gateway/broker/asking.go
+++ b/internal/gateway/broker/asking.go
@@ -8,10 +8,10 @@
 )
 
 // Choose implements relayer.Chooser. It waits while the request is queued.
-func (b *Broker) Choose(ctx context.Context, service string, work balancer.Work) (balancer.Choice, bool) {
+func (b *Broker) Choose(ctx context.Context, service string, work balancer.Request) (balancer.Choice, bool) {
 	pool := b.poolOf(service, &work)
 
-	ctx, cancel := context.WithTimeout(ctx, time.Duration(float64(work.Limit)*waitPart))
+	ctx, cancel := context.WithTimeout(ctx, time.Duration(float64(work.TimeLimit)*waitPart))
 	defer cancel()
 
 	// A grant may come before the answer that says that the request waits.
@@ -19,11 +19,11 @@
 	b.await(work.ID, granted)
 	defer b.unwait(work.ID)
 
-	deadline := time.Now().Add(work.Limit)
+	deadline := time.Now().Add(work.TimeLimit)
 
 	for {
 		asked := b.holdersOf(pool)
-		work.Limit = time.Until(deadline)
+		work.TimeLimit = time.Until(deadline)
 
 		choice, decision, by := b.askAny(ctx, asked, pool, work)
 
@@ -87,7 +87,7 @@
 
 // askAny asks the holders in their order, then this node's own pool. It returns the place of the
 // holder that answered, -1 for the own pool.
-func (b *Broker) askAny(ctx context.Context, asked []string, pool string, work balancer.Work) (balancer.Choice, balancer.Decision, int) {
+func (b *Broker) askAny(ctx context.Context, asked []string, pool string, work balancer.Request) (balancer.Choice, balancer.Decision, int) {
 	// unready is the place of the first holder that has too little of a view to decide before others.
 	unready := -1
 
@@ -122,8 +122,8 @@
 }
 
 // askSelf lets this node's own view decide.
-func (b *Broker) askSelf(pool string, work balancer.Work) (balancer.Choice, balancer.Decision, int) {
-	choice, decision := b.pool(pool).Ask(time.Now(), b.options.Self, work)
+func (b *Broker) askSelf(pool string, work balancer.Request) (balancer.Choice, balancer.Decision, int) {
+	choice, decision := b.pool(pool).Acquire(time.Now(), b.options.Self, work)
 
 	return choice, decision, -1
 }
@@ -149,19 +149,19 @@
 		return chooseAnswer{Unready: true}
 	}
 
-	choice, decision := b.pool(params.Pool).Ask(time.Now(), from, params.Work)
+	choice, decision := b.pool(params.Pool).Acquire(time.Now(), from, params.Work)
 
 	return chooseAnswer{Choice: choice, Decision: decision}
 }
 
 // begun notes a choice and tells the holders that did not make it.
-func (b *Broker) begun(pool string, work balancer.Work, choice balancer.Choice, asked []string, by int) {
+func (b *Broker) begun(pool string, work balancer.Request, choice balancer.Choice, asked []string, by int) {
 	b.mu.Lock()
-	b.running[work.ID] = running{pool: pool, upstream: choice.Upstream, work: work, until: time.Now().Add(work.Limit)}
+	b.running[work.ID] = running{pool: pool, upstream: choice.Upstream, work: work, until: time.Now().Add(work.TimeLimit)}
 	b.mu.Unlock()
 
 	if by < 0 || asked[by] != b.options.Self {
-		b.pool(pool).Begin(time.Now(), choice.Upstream, work)
+		b.pool(pool).AddRunning(time.Now(), choice.Upstream, work)
 	}
 
 	for i, holder := range asked {
--- a/internal/gateway/broker/broker.go
+++ b/internal/gateway/broker/broker.go
@@ -107,11 +107,11 @@
 type running struct {
 	pool     string
 	upstream string
-	work     balancer.Work
+	work     balancer.Request
 	answered bool
 	until    time.Time
 	// pauses is set once a stream has come whole.
-	pauses *balancer.Pauses
+	pauses *balancer.EventGaps
 }
 
 // New returns a broker without services.
@@ -192,7 +192,7 @@
 }
 
 // poolOf returns the name of the pool for a request: the same one for requests of one session.
-func (b *Broker) poolOf(service string, work *balancer.Work) string {
+func (b *Broker) poolOf(service string, work *balancer.Request) string {
 	b.mu.Lock()
 	l := b.layouts[service]
 	b.mu.Unlock()
@@ -232,7 +232,7 @@
 
 	for _, service := range services {
 		pool := b.pool(service)
-		s := Stats{Waiting: pool.Waiting(), Figures: pool.Figures(), Servers: pool.Report(now)}
+		s := Stats{Waiting: pool.QueueLength(), Figures: pool.Estimates(), Servers: pool.Report(now)}
 
 		if held := b.holdersOf(service); len(held) > 0 {
 			s.Holder = held[0]
--- a/internal/gateway/broker/broker_test.go
+++ b/internal/gateway/broker/broker_test.go
@@ -173,8 +173,8 @@
 	return chosen[0], others
 }
 
-func work(id string) balancer.Work {
-	return balancer.Work{ID: id, Limit: 10 * time.Second, Target: 100 * time.Millisecond}
+func work(id string) balancer.Request {
+	return balancer.Request{ID: id, TimeLimit: 10 * time.Second, Target: 100 * time.Millisecond}
 }
 
 func inFleet(t *testing.T, count, servers, slots int, run func(*testing.T, *fleet)) {
@@ -276,7 +276,7 @@
 		taken := 0
 
 		for i := range 10 {
-			asked := balancer.Work{ID: fmt.Sprint("new", i), Limit: 100 * time.Millisecond}
+			asked := balancer.Request{ID: fmt.Sprint("new", i), TimeLimit: 100 * time.Millisecond}
 			if _, ok := f.nodes[others[4]].Choose(context.Background(), service, asked); ok {
 				taken++
 			}
@@ -365,7 +365,7 @@
 		f.start(ctx, holder)
 		time.Sleep(200 * time.Millisecond)
 
-		asked := balancer.Work{ID: "new", Limit: 100 * time.Millisecond}
+		asked := balancer.Request{ID: "new", TimeLimit: 100 * time.Millisecond}
 		_, ok := f.nodes[others[4]].Choose(ctx, service, asked)
 		assert.Assert(t, !ok)
 
@@ -381,7 +381,7 @@
 		taken := 0
 
 		for i := range 3 {
-			if _, ok := f.nodes[others[4]].Choose(ctx, service, balancer.Work{ID: fmt.Sprint("later", i), Limit: 100 * time.Millisecond}); ok {
+			if _, ok := f.nodes[others[4]].Choose(ctx, service, balancer.Request{ID: fmt.Sprint("later", i), TimeLimit: 100 * time.Millisecond}); ok {
 				taken++
 			}
 		}
--- a/internal/gateway/broker/layout.go
+++ b/internal/gateway/broker/layout.go
@@ -48,14 +48,14 @@
 
 // part returns the part for a request, in proportion to the parts' weights. Requests that share their
 // parts but the last go to one part, so that what they share is read there only.
-func (l layout) part(work *balancer.Work) int {
+func (l layout) part(work *balancer.Request) int {
 	if len(l.weights) < 2 {
 		return 0
 	}
 
 	shared := work.ID
-	if n := len(work.Parts); n > 1 {
-		shared = work.Parts[n-2].ID
+	if n := len(work.PromptParts); n > 1 {
+		shared = work.PromptParts[n-2].ID
 	}
 
 	var key [16]byte
--- a/internal/gateway/broker/layout_test.go
+++ b/internal/gateway/broker/layout_test.go
@@ -26,7 +26,7 @@
 
 	var parts []int
 	for i := range layoutSessions {
-		parts = append(parts, l.part(&balancer.Work{ID: fmt.Sprint("r", i), Parts: []balancer.Part{{ID: fmt.Sprint("s", i)}, {ID: "own"}}}))
+		parts = append(parts, l.part(&balancer.Request{ID: fmt.Sprint("r", i), PromptParts: []balancer.PromptPart{{ID: fmt.Sprint("s", i)}, {ID: "own"}}}))
 	}
 
 	return parts
@@ -95,7 +95,7 @@
 	counts := make([]int, len(l.weights))
 
 	for i := range 8000 {
-		counts[l.part(&balancer.Work{ID: fmt.Sprint("r", i)})]++
+		counts[l.part(&balancer.Request{ID: fmt.Sprint("r", i)})]++
 	}
 
 	for i, weight := range l.weights {
--- a/internal/gateway/broker/leaving_test.go
+++ b/internal/gateway/broker/leaving_test.go
@@ -22,7 +22,7 @@
 		time.Sleep(3 * time.Second)
 
 		chosen := func(node string, i int) string {
-			work := balancer.Work{ID: fmt.Sprint(node, "-", i), Limit: time.Second}
+			work := balancer.Request{ID: fmt.Sprint(node, "-", i), TimeLimit: time.Second}
 			choice, ok := f.nodes[node].Choose(ctx, service, work)
 			assert.Assert(t, ok)
 
--- a/internal/gateway/broker/outbox.go
+++ b/internal/gateway/broker/outbox.go
@@ -10,8 +10,8 @@
 
 // chooseParams and the types below are the messages between nodes.
 type chooseParams struct {
-	Pool string        `json:"s"`
-	Work balancer.Work `json:"w"`
+	Pool string           `json:"s"`
+	Work balancer.Request `json:"w"`
 	// Forced asks for a choice also from a holder that isn't ready: no other one is.
 	Forced bool `json:"f,omitempty"`
 }
@@ -35,16 +35,16 @@
 	// Leaving is an upstream that said that it leaves.
 	Leaving string `json:"v,omitempty"`
 	// Pauses come with the end of a whole stream.
-	Pauses *balancer.Pauses  `json:"p,omitempty"`
-	End    *balancer.Outcome `json:"e,omitempty"`
+	Pauses *balancer.EventGaps `json:"p,omitempty"`
+	End    *balancer.Outcome   `json:"e,omitempty"`
 	// Grant is what became of a waiting request of the receiver.
 	Grant *balancer.Grant `json:"g,omitempty"`
 }
 
 type begin struct {
-	Upstream string        `json:"u"`
-	Work     balancer.Work `json:"w"`
-	Answered bool          `json:"a,omitempty"`
+	Upstream string           `json:"u"`
+	Work     balancer.Request `json:"w"`
+	Answered bool             `json:"a,omitempty"`
 }
 
 type reportParams struct {
--- a/internal/gateway/broker/reporting.go
+++ b/internal/gateway/broker/reporting.go
@@ -34,12 +34,12 @@
 		return
 	}
 
-	b.pool(r.pool).First(time.Now(), id, load)
+	b.pool(r.pool).RecordFirstEvent(time.Now(), id, load)
 	b.tell(r.pool, report{Pool: r.pool, ID: id, First: true, Load: load})
 }
 
 // Paused implements relayer.Chooser.
-func (b *Broker) Paused(id string, pauses balancer.Pauses) {
+func (b *Broker) Paused(id string, pauses balancer.EventGaps) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 
@@ -57,7 +57,7 @@
 	b.mu.Unlock()
 
 	if ok {
-		b.pool(r.pool).Leave(r.upstream)
+		b.pool(r.pool).MarkLeaving(r.upstream)
 		b.tell(r.pool, report{Pool: r.pool, ID: id, Leaving: r.upstream})
 	}
 }
@@ -75,7 +75,7 @@
 }
 
 // end tells all that know the pool that a request runs or waits no longer, and how its events came if it was a whole stream.
-func (b *Broker) end(pool, id string, outcome balancer.Outcome, pauses *balancer.Pauses) {
+func (b *Broker) end(pool, id string, outcome balancer.Outcome, pauses *balancer.EventGaps) {
 	now := time.Now()
 	ended := report{Pool: pool, ID: id, End: &outcome, Pauses: pauses}
 
@@ -129,25 +129,25 @@
 
 	switch {
 	case r.Begin != nil && r.Begin.Answered:
-		pool.Continue(now, r.Begin.Upstream, r.Begin.Work)
+		pool.AddAnswering(now, r.Begin.Upstream, r.Begin.Work)
 	case r.Begin != nil:
-		pool.Begin(now, r.Begin.Upstream, r.Begin.Work)
+		pool.AddRunning(now, r.Begin.Upstream, r.Begin.Work)
 	}
 
 	if r.First {
-		pool.First(now, r.ID, r.Load)
+		pool.RecordFirstEvent(now, r.ID, r.Load)
 	}
 
 	if r.Leaving != "" {
-		pool.Leave(r.Leaving)
+		pool.MarkLeaving(r.Leaving)
 	}
 
 	if r.Pauses != nil {
-		pool.Paused(r.ID, *r.Pauses)
+		pool.RecordGaps(r.ID, *r.Pauses)
 	}
 
 	if r.End != nil {
-		pool.End(now, r.ID, *r.End)
+		pool.RecordEnd(now, r.ID, *r.End)
 	}
 }
 
@@ -181,10 +181,10 @@
 
 // grant tells the owners of requests that waited which upstream they got.
 func (b *Broker) grant(now time.Time, pool string) {
-	for _, g := range b.pool(pool).Next(now) {
+	for _, g := range b.pool(pool).GrantQueued(now) {
 		if g.Owner == b.options.Self {
 			if !b.deliver(g) && !g.Refused {
-				b.pool(pool).End(now, g.ID, balancer.Abandoned)
+				b.pool(pool).RecordEnd(now, g.ID, balancer.Abandoned)
 			}
 
 			continue
--- a/internal/gateway/broker/size_test.go
+++ b/internal/gateway/broker/size_test.go
@@ -17,12 +17,12 @@
 func TestMessagesOfARequestAreShort(t *testing.T) {
 	id := "0b8f6a52-9c41-4d07-be2a-35f68a1c77d0.0"
 	served := balancer.Served
-	work := balancer.Work{
-		ID: id, Priority: 2, PromptTokens: 9190, OutputTokens: 60, Limit: 6 * time.Second, Target: 800 * time.Millisecond,
-		GapLimit: 500 * time.Millisecond,
-		Parts:    []balancer.Part{{ID: "5c1e07a2", Tokens: 2520}, {ID: "91bd3f06", Tokens: 3780}, {ID: "e4402b7d", Tokens: 2890}},
+	work := balancer.Request{
+		ID: id, Priority: 2, PromptTokens: 9190, OutputTokens: 60, TimeLimit: 6 * time.Second, Target: 800 * time.Millisecond,
+		GapLimit:    500 * time.Millisecond,
+		PromptParts: []balancer.PromptPart{{ID: "5c1e07a2", Tokens: 2520}, {ID: "91bd3f06", Tokens: 3780}, {ID: "e4402b7d", Tokens: 2890}},
 	}
-	choice := balancer.Choice{Upstream: "i-7f3a91c2ab", Address: "10.128.0.9:8080", Loss: 0.1234567890123456, Waiting: 123.4567890123456}
+	choice := balancer.Choice{Upstream: "i-7f3a91c2ab", Address: "10.128.0.9:8080", Loss: 0.1234567890123456, ExpectedWaitMS: 123.4567890123456}
 	total := 0
 
 	for name, message := range map[string]any{
@@ -30,7 +30,7 @@
 		"answer": chooseAnswer{Choice: choice},
 		"begin":  reportParams{Reports: []report{{Pool: "huvo11a/0", ID: id, Begin: &begin{Upstream: choice.Upstream, Work: work}}}},
 		"first":  reportParams{Reports: []report{{Pool: "huvo11a/0", ID: id, First: true, Load: &balancer.Load{Running: 12, Waiting: 1}}}},
-		"end":    reportParams{Reports: []report{{Pool: "huvo11a/0", ID: id, End: &served, Pauses: &balancer.Pauses{Events: 20, Mean: 64.3, Longest: 131.8}}}},
+		"end":    reportParams{Reports: []report{{Pool: "huvo11a/0", ID: id, End: &served, Pauses: &balancer.EventGaps{Events: 20, MeanMS: 64.3, LongestMS: 131.8}}}},
 	} {
 		data, err := json.Marshal(message)
 		assert.NilError(t, err)
--- a/internal/gateway/relayer/account.go
+++ b/internal/gateway/relayer/account.go
@@ -55,7 +55,7 @@
 		Int("rank", request.rank).
 		Int("sends", request.sends).
 		Dur("queued_ms", account.queued).
-		Float64("expected_ms", account.choice.Waiting).
+		Float64("expected_ms", account.choice.ExpectedWaitMS).
 		Dur("first_ms", account.first).
 		Dur("target_ms", request.route.Target).
 		Dur("worst_gap_ms", account.pace.longest).
--- a/internal/gateway/relayer/pace.go
+++ b/internal/gateway/relayer/pace.go
@@ -29,10 +29,10 @@
 	return float64(d.Round(100*time.Microsecond).Microseconds()) / 1000
 }
 
-func (p *pace) pauses() balancer.Pauses {
-	return balancer.Pauses{
-		Events:  p.events,
-		Mean:    tenths(p.last.Sub(p.first) / time.Duration(max(p.events-1, 1))),
-		Longest: tenths(p.longest),
+func (p *pace) pauses() balancer.EventGaps {
+	return balancer.EventGaps{
+		Events:    p.events,
+		MeanMS:    tenths(p.last.Sub(p.first) / time.Duration(max(p.events-1, 1))),
+		LongestMS: tenths(p.longest),
 	}
 }
--- a/internal/gateway/relayer/pace_test.go
+++ b/internal/gateway/relayer/pace_test.go
@@ -12,11 +12,11 @@
 func TestPauses(t *testing.T) {
 	begun := time.Date(2026, time.March, 12, 4, 0, 0, 0, time.UTC)
 	p := &pace{}
-	assert.Equal(t, p.pauses(), balancer.Pauses{})
+	assert.Equal(t, p.pauses(), balancer.EventGaps{})
 
 	for _, at := range []time.Duration{0, 10 * time.Millisecond, 150 * time.Millisecond, 160 * time.Millisecond} {
 		p.event(begun.Add(at))
 	}
 
-	assert.Equal(t, p.pauses(), balancer.Pauses{Events: 4, Mean: 53.3, Longest: 140})
+	assert.Equal(t, p.pauses(), balancer.EventGaps{Events: 4, MeanMS: 53.3, LongestMS: 140})
 }
--- a/internal/gateway/relayer/relayer.go
+++ b/internal/gateway/relayer/relayer.go
@@ -47,11 +47,11 @@
 // Chooser picks upstreams and is told what became of the requests.
 type Chooser interface {
 	// Choose returns an upstream of the service, or false when none can take the request.
-	Choose(ctx context.Context, service string, work balancer.Work) (balancer.Choice, bool)
+	Choose(ctx context.Context, service string, work balancer.Request) (balancer.Choice, bool)
 	// First tells that the answer began, and the load that the upstream told of itself; nil if none.
 	First(id string, load *balancer.Load)
 	// Paused tells how the events of a whole stream came. It comes before the end.
-	Paused(id string, pauses balancer.Pauses)
+	Paused(id string, pauses balancer.EventGaps)
 	End(id string, outcome balancer.Outcome)
 	// Leaving tells that the request's upstream said that it leaves. It comes before the end.
 	Leaving(id string)
@@ -255,20 +255,20 @@
 	work := request.work
 	work.ID = request.workID()
 	work.Excluded = slices.Concat(request.excluded, avoided)
-	work.Limit = time.Until(request.limit)
+	work.TimeLimit = time.Until(request.limit)
 
 	choice, ok := r.options.Chooser.Choose(ctx, request.service, work)
 	if !ok {
-		request.queueAhead = max(time.Duration(choice.Waiting*float64(time.Millisecond)), rest)
+		request.queueAhead = max(time.Duration(choice.ExpectedWaitMS*float64(time.Millisecond)), rest)
 		// The final answer has a line of its own; under overload two for each refusal would double the log.
 		r.options.Logger.Debug().Str("request_id", request.id).Str("service", request.service).
-			Strs("excluded", work.Excluded).Float64("queue_ms", choice.Waiting).Msg("no_upstream")
+			Strs("excluded", work.Excluded).Float64("queue_ms", choice.ExpectedWaitMS).Msg("no_upstream")
 
 		return choice, false
 	}
 
 	r.options.Logger.Debug().Str("request_id", request.id).Str("service", request.service).
-		Str("upstream", choice.Upstream).Float64("loss", choice.Loss).Float64("expected_ms", choice.Waiting).
+		Str("upstream", choice.Upstream).Float64("loss", choice.Loss).Float64("expected_ms", choice.ExpectedWaitMS).
 		Int("send", request.sends+1).Msg("upstream_chosen")
 
 	return choice, true
--- a/internal/gateway/relayer/relayer_test.go
+++ b/internal/gateway/relayer/relayer_test.go
@@ -179,7 +179,7 @@
 }
 
 // Choose implements relayer.Chooser.
-func (w *world) Choose(_ context.Context, _ string, work balancer.Work) (balancer.Choice, bool) {
+func (w *world) Choose(_ context.Context, _ string, work balancer.Request) (balancer.Choice, bool) {
 	for _, u := range w.upstreams {
 		if w.blind || !strings.Contains(strings.Join(work.Excluded, " "), u.name) {
 			return balancer.Choice{Upstream: u.name, Address: u.address}, true
@@ -193,7 +193,7 @@
 func (w *world) First(string, *balancer.Load) {}
 
 // Paused implements relayer.Chooser.
-func (w *world) Paused(string, balancer.Pauses) {}
+func (w *world) Paused(string, balancer.EventGaps) {}
 
 // Leaving implements relayer.Chooser.
 func (w *world) Leaving(string) {}
--- a/internal/gateway/relayer/request.go
+++ b/internal/gateway/relayer/request.go
@@ -51,7 +51,7 @@
 	held *reservation
 	// limit is when the final answer is due.
 	limit time.Time
-	work  balancer.Work
+	work  balancer.Request
 	// rank is what engines are told.
 	rank int
 
@@ -240,8 +240,8 @@
 }
 
 // work describes the request to the balancer.
-func (r *Relayer) work(route *cataloguer.Route, rank router.Rank, header http.Header) balancer.Work {
-	work := balancer.Work{Priority: rank.Priority, Order: rank.OrganisationRank, Target: route.Target, GapLimit: route.GapLimit}
+func (r *Relayer) work(route *cataloguer.Route, rank router.Rank, header http.Header) balancer.Request {
+	work := balancer.Request{Priority: rank.Priority, OrganisationRank: rank.OrganisationRank, Target: route.Target, GapLimit: route.GapLimit}
 
 	prompt, output, _ := strings.Cut(header.Get(r.options.Headers.TokenCounts), ",")
 	work.PromptTokens = number(prompt)
@@ -258,7 +258,7 @@
 			break
 		}
 
-		work.Parts = append(work.Parts, balancer.Part{ID: id, Tokens: number(tokens)})
+		work.PromptParts = append(work.PromptParts, balancer.PromptPart{ID: id, Tokens: number(tokens)})
 	}
 
 	return work
