--- a/internal/gateway/apportioner/apportioner.go
+++ b/internal/gateway/apportioner/apportioner.go
@@ -4,7 +4,7 @@
 // has been listed for so long that all others that use theirs count it. Its part is then one of as many as there are nodes.
 // Only the first node that a deployment ever has need not wait.
 //
-// This holds without a message: a node that uses its part at some moment has a list that is younger than Fresh. One that
+// This holds without a message: a node that uses its part at some moment has a list that is younger than MaxListAge. One that
 // began to use its part before that had been listed for longer, so it is on that list.
 package apportioner
 
@@ -21,10 +21,10 @@
 type Options struct {
 	// Self is this node's name.
 	Self string
-	// Fresh is the greatest age of a list by which a node uses its part.
-	Fresh time.Duration
-	// Lasting is how long what a node has used keeps others from using it.
-	Lasting time.Duration
+	// MaxListAge is the greatest age of a list by which a node uses its part.
+	MaxListAge time.Duration
+	// Retention is how long what a node has used keeps others from using it.
+	Retention time.Duration
 	// Now is a clock that counts suspensions.
 	Now func() time.Duration
 }
@@ -51,8 +51,8 @@
 	return &Apportioner{options: options}
 }
 
-// SetFirst tells that this node is the first one of its deployment ever: nobody has used anything, and all others wait.
-func (a *Apportioner) SetFirst() {
+// SetFirstNode tells that this node is the first one of its deployment ever: nobody has used anything, and all others wait.
+func (a *Apportioner) SetFirstNode() {
 	now := a.options.Now()
 
 	a.mu.Lock()
@@ -100,11 +100,11 @@
 
 // settling is how long a change of the list takes to be known to all and to have no more effects.
 func (a *Apportioner) settling() time.Duration {
-	return a.options.Fresh + a.options.Lasting
+	return a.options.MaxListAge + a.options.Retention
 }
 
-// Part returns this node's part, 0 to 1. The age is that of the list; known is false where it isn't known.
-func (a *Apportioner) Part(age time.Duration, known bool) float64 {
+// Share returns this node's part, 0 to 1. The age is that of the list; known is false where it isn't known.
+func (a *Apportioner) Share(age time.Duration, known bool) float64 {
 	now := a.options.Now()
 
 	a.mu.Lock()
@@ -112,7 +112,7 @@
 
 	a.lowerLocked(now)
 
-	if !known || age > a.options.Fresh || !a.mayUseLocked(now) {
+	if !known || age > a.options.MaxListAge || !a.mayUseLocked(now) {
 		return 0
 	}
 
--- a/internal/gateway/budgeter/fleet_test.go
+++ b/internal/gateway/budgeter/fleet_test.go
@@ -95,7 +95,7 @@
 		f.join(rate)
 	}
 
-	f.nodes[0].parts.SetFirst()
+	f.nodes[0].parts.SetFirstNode()
 
 	return f
 }
@@ -112,11 +112,11 @@
 	n.life++
 	n.away, n.frozen, n.waiting, n.known, n.viewAt, n.startAt = false, false, 0, 0, -1, f.now
 	clock := func() time.Duration { return f.now }
-	parts := apportioner.New(apportioner.Options{Self: n.name, Fresh: window, Lasting: budgeter.Lasting(window), Now: clock})
+	parts := apportioner.New(apportioner.Options{Self: n.name, MaxListAge: window, Retention: budgeter.Lasting(window), Now: clock})
 	n.parts = parts
 	n.budget = budgeter.New(budgeter.Options{
 		Ratio: ratio, Extra: f.extra, Window: window, Now: clock,
-		Part:  func() float64 { return parts.Part(f.now-n.viewAt, n.viewAt >= 0) },
+		Part:  func() float64 { return parts.Share(f.now-n.viewAt, n.viewAt >= 0) },
 		Peers: f, Self: n.name, Live: f.live, Logger: zerolog.Nop(),
 	})
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -158,10 +158,10 @@
 
 	n.current.Store(&settings)
 	n.apportioner = apportioner.New(apportioner.Options{
-		Self:    settings.Node.PeerListen,
-		Fresh:   settings.Gateway.RetryWindow,
-		Lasting: budgeter.Lasting(settings.Gateway.RetryWindow),
-		Now:     n.catalog.Now,
+		Self:       settings.Node.PeerListen,
+		MaxListAge: settings.Gateway.RetryWindow,
+		Retention:  budgeter.Lasting(settings.Gateway.RetryWindow),
+		Now:        n.catalog.Now,
 	})
 	n.acceptor = acceptor.New(mostConnections(settings.Gateway.Descriptors), n.callerTimes)
 	n.prober = n.newProber()
@@ -177,7 +177,7 @@
 		Ratio:  settings.Gateway.RetryRatio,
 		Extra:  settings.Gateway.RetryExtra,
 		Window: settings.Gateway.RetryWindow,
-		Part:   func() float64 { return n.apportioner.Part(n.catalog.RegistryAge()) },
+		Part:   func() float64 { return n.apportioner.Share(n.catalog.RegistryAge()) },
 		Now:    n.catalog.Now,
 		Self:   settings.Node.PeerListen,
 		Live:   n.live,
--- a/internal/gateway/members.go
+++ b/internal/gateway/members.go
@@ -85,7 +85,7 @@
 	}
 
 	if first {
-		n.apportioner.SetFirst()
+		n.apportioner.SetFirstNode()
 		n.logger.Info().Msg("first_node")
 	}
 }
