--- a/internal/gateway/budgeter/borrowing.go
+++ b/internal/gateway/budgeter/borrowing.go
@@ -151,7 +151,7 @@
 }
 
 // borrow pays for an extra attempt of which this node's own budget has a part left.
-func (b *Budgeter) borrow(ctx context.Context, service string, own float64) (*Charge, bool) {
+func (b *Budgeter) borrow(ctx context.Context, service string, own float64) (*Permit, bool) {
 	if b.options.Peers == nil {
 		return nil, false
 	}
@@ -164,7 +164,7 @@
 	}
 
 	borrowed := b.gather(ctx, service, 1-own)
-	charge := &Charge{budgeter: b, service: service, own: max(1-borrowed.amount, 0), borrowed: borrowed.amount, expires: borrowed.expires}
+	charge := &Permit{budgeter: b, service: service, own: max(1-borrowed.amount, 0), borrowed: borrowed.amount, expires: borrowed.expires}
 
 	_, ok := b.take(service, charge.own)
 	if !ok {
@@ -240,7 +240,7 @@
 
 // lend pays for a part of an attempt of a peer, from what this node is not likely to need itself.
 func (b *Budgeter) lend(service string, amount float64) float64 {
-	part := b.options.Part()
+	part := b.options.Share()
 	now := b.options.Now()
 
 	b.mu.Lock()
--- a/internal/gateway/budgeter/budgeter.go
+++ b/internal/gateway/budgeter/budgeter.go
@@ -26,8 +26,8 @@
 	Extra float64
 	// Window is the span over which both hold.
 	Window time.Duration
-	// Part returns this node's part of Extra, 0 to 1. Those of all nodes whose attempts can arrive in one window add up to at most 1.
-	Part func() float64
+	// Share returns this node's part of Extra, 0 to 1. Those of all nodes whose attempts can arrive in one window add up to at most 1.
+	Share func() float64
 	// Now is a clock that counts suspensions.
 	Now func() time.Duration
 	// Peers reaches the nodes that may lend; nil if there are none.
@@ -72,8 +72,8 @@
 	b.options.Ratio, b.options.Extra = ratio, extra
 }
 
-// First counts a request when it arrives.
-func (b *Budgeter) First(service string) {
+// CountRequest counts a request when it arrives.
+func (b *Budgeter) CountRequest(service string) {
 	b.update(service, func(l *ledger) {
 		b.beatLocked(l.now)
 
@@ -85,8 +85,8 @@
 	})
 }
 
-// Beat tells that the process runs. It must be called several times in each stallTime.
-func (b *Budgeter) Beat() {
+// MarkRunning tells that the process runs. It must be called several times in each stallTime.
+func (b *Budgeter) MarkRunning() {
 	now := b.options.Now()
 
 	b.mu.Lock()
@@ -106,7 +106,7 @@
 
 // take takes so much of an extra attempt from this node's own budget, or returns how much is left if that is less.
 func (b *Budgeter) take(service string, amount float64) (left float64, ok bool) {
-	part := b.options.Part()
+	part := b.options.Share()
 
 	b.update(service, func(l *ledger) {
 		left = max(b.available(l, part), 0)
@@ -151,28 +151,28 @@
 // Usage is what a node has counted for one service, and what it allows now.
 type Usage struct {
 	Service string `json:"service"`
-	// Firsts and Extras count requests and the extra attempts that may have arrived, since the start.
-	Firsts int64 `json:"firsts"`
-	Extras int64 `json:"extras"`
+	// Requests and ExtraAttempts count requests and the extra attempts that may have arrived, since the start.
+	Requests      int64 `json:"firsts"`
+	ExtraAttempts int64 `json:"extras"`
 	// Refused counts extra attempts for which nothing was left, Unused those that were paid for and not sent.
 	Refused int64 `json:"refused"`
 	Unused  int64 `json:"unused"`
 	// Borrowed and Lent are what peers paid for this node, and this node for peers, in attempts.
 	Borrowed float64 `json:"borrowed"`
 	Lent     float64 `json:"lent"`
-	// WindowFirsts and WindowExtras are those that count for the window that begins now; WindowExtras has what was lent.
-	WindowFirsts float64 `json:"window_firsts"`
-	WindowExtras float64 `json:"window_extras"`
-	// Bound is the extra attempts that the node may pay for in that window, Left how many it may still pay for in all
-	// windows, Part its part of those that all nodes share.
-	Bound float64 `json:"bound"`
-	Left  float64 `json:"left"`
-	Part  float64 `json:"part"`
+	// WindowRequests and WindowExtraAttempts are those that count for the window that begins now; the latter has what was lent.
+	WindowRequests      float64 `json:"window_firsts"`
+	WindowExtraAttempts float64 `json:"window_extras"`
+	// Bound is the extra attempts that the node may pay for in that window, Remaining how many it may still pay for in all
+	// windows, Share its share of those that all nodes share.
+	Bound     float64 `json:"bound"`
+	Remaining float64 `json:"left"`
+	Share     float64 `json:"part"`
 }
 
 // Usage returns what was counted, by service in their order.
 func (b *Budgeter) Usage() []Usage {
-	part := b.options.Part()
+	part := b.options.Share()
 	now := b.options.Now()
 
 	b.mu.Lock()
@@ -183,9 +183,9 @@
 	for _, service := range slices.Sorted(maps.Keys(b.services)) {
 		l := b.ledger(now, service)
 		u := l.totals.usage(service)
-		u.WindowFirsts, u.WindowExtras = l.present()
-		u.Bound = b.options.Ratio*u.WindowFirsts + b.options.Extra*part
-		u.Left, u.Part = max(b.available(l, part), 0), part
+		u.WindowRequests, u.WindowExtraAttempts = l.present()
+		u.Bound = b.options.Ratio*u.WindowRequests + b.options.Extra*part
+		u.Remaining, u.Share = max(b.available(l, part), 0), part
 		usage = append(usage, u)
 	}
 
@@ -200,6 +200,6 @@
 
 func (t *totals) usage(service string) Usage {
 	return Usage{
-		Service: service, Firsts: t.firsts, Extras: t.extras, Refused: t.refused, Unused: t.unused, Borrowed: t.borrowed, Lent: t.lent,
+		Service: service, Requests: t.firsts, ExtraAttempts: t.extras, Refused: t.refused, Unused: t.unused, Borrowed: t.borrowed, Lent: t.lent,
 	}
 }
--- a/internal/gateway/budgeter/budgeter_test.go
+++ b/internal/gateway/budgeter/budgeter_test.go
@@ -25,8 +25,8 @@
 	a := &alone{now: time.Hour}
 	a.Budgeter = budgeter.New(budgeter.Options{
 		Ratio: 0.2, Extra: extra, Window: 10 * time.Second, Logger: zerolog.Nop(),
-		Part: func() float64 { return 1 / float64(nodes) },
-		Now:  func() time.Duration { return a.now },
+		Share: func() float64 { return 1 / float64(nodes) },
+		Now:   func() time.Duration { return a.now },
 	})
 
 	return a
@@ -36,14 +36,14 @@
 func (a *alone) pass(d time.Duration) {
 	for end := a.now + d; a.now < end; {
 		a.now = min(a.now+100*time.Millisecond, end)
-		a.Beat()
+		a.MarkRunning()
 	}
 }
 
 // serve takes requests evenly over the given time.
 func (a *alone) serve(count int, d time.Duration) {
 	for range count {
-		a.First("chat")
+		a.CountRequest("chat")
 		a.pass(d / time.Duration(count))
 	}
 }
@@ -58,7 +58,7 @@
 			return allowed
 		}
 
-		charge.Settle(true)
+		charge.Complete(true)
 
 		allowed++
 	}
@@ -111,7 +111,7 @@
 func TestPartsOfAnAttemptAddUp(t *testing.T) {
 	a := newAlone(200, 370)
 	for range 5 {
-		a.First("chat")
+		a.CountRequest("chat")
 	}
 
 	// 0.54 of the extra attempts and 0.5 for the requests.
@@ -145,7 +145,7 @@
 	assert.Equal(t, a.spend(), 0)
 
 	// It got no answer.
-	charge.Settle(false)
+	charge.Complete(false)
 	a.pass(14 * time.Second)
 	assert.Equal(t, a.spend(), 0)
 
@@ -160,7 +160,7 @@
 	assert.Assert(t, ok)
 
 	charge.Cancel()
-	charge.Settle(true)
+	charge.Complete(true)
 	assert.Equal(t, a.spend(), 1)
 }
 
--- a/internal/gateway/budgeter/fleet_test.go
+++ b/internal/gateway/budgeter/fleet_test.go
@@ -112,11 +112,11 @@
 	n.life++
 	n.away, n.frozen, n.waiting, n.known, n.viewAt, n.startAt = false, false, 0, 0, -1, f.now
 	clock := func() time.Duration { return f.now }
-	parts := apportioner.New(apportioner.Options{Self: n.name, MaxListAge: window, Retention: budgeter.Lasting(window), Now: clock})
+	parts := apportioner.New(apportioner.Options{Self: n.name, MaxListAge: window, Retention: budgeter.Retention(window), Now: clock})
 	n.parts = parts
 	n.budget = budgeter.New(budgeter.Options{
 		Ratio: ratio, Extra: f.extra, Window: window, Now: clock,
-		Part:  func() float64 { return parts.Share(f.now-n.viewAt, n.viewAt >= 0) },
+		Share: func() float64 { return parts.Share(f.now-n.viewAt, n.viewAt >= 0) },
 		Peers: f, Self: n.name, Live: f.live, Logger: zerolog.Nop(),
 	})
 }
@@ -205,7 +205,7 @@
 		return
 	}
 
-	n.budget.Beat()
+	n.budget.MarkRunning()
 
 	for ; n.waiting > 0; n.waiting-- {
 		n.serve()
@@ -263,7 +263,7 @@
 }
 
 func (n *node) serve() {
-	n.budget.First("desk")
+	n.budget.CountRequest("desk")
 
 	if n.fleet.failing {
 		n.retry(n.fleet.retries, true)
@@ -291,7 +291,7 @@
 	})
 }
 
-func (n *node) send(charge *budgeter.Charge, left int, arrived bool) {
+func (n *node) send(charge *budgeter.Permit, left int, arrived bool) {
 	f, life := n.fleet, n.life
 
 	if n.frozen {
@@ -313,7 +313,7 @@
 
 	if arrived {
 		f.extras = append(f.extras, f.now)
-		charge.Settle(true)
+		charge.Complete(true)
 	} else {
 		wait := time.Duration(f.random.Int64N(int64(late)))
 		if f.thawAt > f.now {
@@ -321,7 +321,7 @@
 		}
 
 		f.after(wait, func() { f.extras = append(f.extras, f.now) })
-		f.after(900*time.Millisecond, func() { charge.Settle(false) })
+		f.after(900*time.Millisecond, func() { charge.Complete(false) })
 	}
 
 	if f.failing {
--- a/internal/gateway/budgeter/ledger.go
+++ b/internal/gateway/budgeter/ledger.go
@@ -25,8 +25,8 @@
 	rounding = 1e-9
 )
 
-// Lasting is how long after it was taken for the last time a node's part of the extra attempts counts in a window.
-func Lasting(window time.Duration) time.Duration {
+// Retention is how long after it was taken for the last time a node's part of the extra attempts counts in a window.
+func Retention(window time.Duration) time.Duration {
 	t := durationsOf(window)
 
 	return window + t.late + t.loan + 2*t.slot
--- a/internal/gateway/budgeter/charge.go
+++ b/internal/gateway/budgeter/permit.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Charge is one extra attempt that was paid for. It counts in each window until it is over. Its methods may be called on nil,
+// Permit is one extra attempt that was paid for. It counts in each window until it is over. Its methods may be called on nil,
 // which stands for an attempt that costs nothing, but not concurrently.
-type Charge struct {
+type Permit struct {
 	budgeter *Budgeter
 	service  string
 	// own and borrowed add up to one attempt.
@@ -18,12 +18,12 @@
 }
 
 // Acquire pays for one extra attempt, from this node's own budget or from those of others; false if nothing is left.
-func (b *Budgeter) Acquire(ctx context.Context, service string) (*Charge, bool) {
+func (b *Budgeter) Acquire(ctx context.Context, service string) (*Permit, bool) {
 	b.update(service, func(l *ledger) { l.wanted.add(l.slot, 1) })
 
 	own, ok := b.take(service, 1)
 	if ok {
-		return &Charge{budgeter: b, service: service, own: 1}, true
+		return &Permit{budgeter: b, service: service, own: 1}, true
 	}
 
 	if charge, ok := b.borrow(ctx, service, own); ok {
@@ -36,12 +36,12 @@
 }
 
 // Usable says whether the attempt may still be sent.
-func (c *Charge) Usable() bool {
+func (c *Permit) Usable() bool {
 	return c == nil || !c.over && (c.borrowed == 0 || c.budgeter.options.Now() <= c.expires)
 }
 
 // Borrowed is the part of the attempt that other nodes pay for.
-func (c *Charge) Borrowed() float64 {
+func (c *Permit) Borrowed() float64 {
 	if c == nil {
 		return 0
 	}
@@ -49,13 +49,13 @@
 	return c.borrowed
 }
 
-// Cancel gives back an attempt that was not sent. After Settle it does nothing.
-func (c *Charge) Cancel() {
+// Cancel gives back an attempt that was not sent. After Complete it does nothing.
+func (c *Permit) Cancel() {
 	c.end(func(l *ledger) { l.totals.unused++ })
 }
 
-// Settle ends an attempt that was sent. Arrived says that it and those before it of the same request surely have arrived.
-func (c *Charge) Settle(arrived bool) {
+// Complete ends an attempt that was sent. Arrived says that it and those before it of the same request surely have arrived.
+func (c *Permit) Complete(arrived bool) {
 	c.end(func(l *ledger) {
 		last := l.now
 		if !arrived {
@@ -74,7 +74,7 @@
 }
 
 // end closes the charge once, and records how.
-func (c *Charge) end(record func(l *ledger)) {
+func (c *Permit) end(record func(l *ledger)) {
 	if c == nil || c.over {
 		return
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -160,7 +160,7 @@
 	n.apportioner = apportioner.New(apportioner.Options{
 		Self:       settings.Node.PeerListen,
 		MaxListAge: settings.Gateway.RetryWindow,
-		Retention:  budgeter.Lasting(settings.Gateway.RetryWindow),
+		Retention:  budgeter.Retention(settings.Gateway.RetryWindow),
 		Now:        n.catalog.Now,
 	})
 	n.acceptor = acceptor.New(mostConnections(settings.Gateway.Descriptors), n.callerTimes)
@@ -177,7 +177,7 @@
 		Ratio:  settings.Gateway.RetryRatio,
 		Extra:  settings.Gateway.RetryExtra,
 		Window: settings.Gateway.RetryWindow,
-		Part:   func() float64 { return n.apportioner.Share(n.catalog.RegistryAge()) },
+		Share:  func() float64 { return n.apportioner.Share(n.catalog.RegistryAge()) },
 		Now:    n.catalog.Now,
 		Self:   settings.Node.PeerListen,
 		Live:   n.live,
--- a/internal/gateway/relayer/relayer.go
+++ b/internal/gateway/relayer/relayer.go
@@ -162,7 +162,7 @@
 		return
 	}
 
-	r.options.Budget.First(request.service)
+	r.options.Budget.CountRequest(request.service)
 
 	if r.quarantined(request) {
 		r.refuse(w, request.id, request, quarantiner.Refusal(request.quarantined))
--- a/internal/gateway/relayer/relayer_test.go
+++ b/internal/gateway/relayer/relayer_test.go
@@ -97,7 +97,7 @@
 	handler := relayer.New(relayer.Options{
 		Headers: names, Catalog: w.catalog, Table: func() *router.Table { return table }, Chooser: w, Dialer: dialer.New(1000),
 		Budget: budgeter.New(budgeter.Options{
-			Extra: float64(w.extra), Window: time.Hour, Part: func() float64 { return 1 }, Now: func() time.Duration { return w.now },
+			Extra: float64(w.extra), Window: time.Hour, Share: func() float64 { return 1 }, Now: func() time.Duration { return w.now },
 		}),
 		Quarantine:   w.quarantine,
 		Usage:        w.usage,
--- a/internal/gateway/relayer/request.go
+++ b/internal/gateway/relayer/request.go
@@ -68,7 +68,7 @@
 	// late says that one of them got no answer, so that it may arrive after those behind it.
 	late bool
 	// extra pays for the next attempt; nil if that costs nothing.
-	extra *budgeter.Charge
+	extra *budgeter.Permit
 	// asks counts the times that an upstream was asked for, declined the choices that were not used.
 	asks, declined int
 	excluded       []string
@@ -94,7 +94,7 @@
 
 	r.arrivals++
 	r.late = r.late || err != nil
-	r.extra.Settle(!r.late)
+	r.extra.Complete(!r.late)
 	r.extra = nil
 }
 
--- a/internal/gateway/retries.go
+++ b/internal/gateway/retries.go
@@ -29,7 +29,7 @@
 			return
 		}
 
-		n.budget.Beat()
+		n.budget.MarkRunning()
 
 		if now := time.Now(); now.Sub(logged) >= retriesInterval {
 			logged = now
@@ -41,7 +41,7 @@
 // logRetries logs the budget of each service that was drawn on since its last line.
 func (n *Node) logRetries(drawn map[string]int64) {
 	for _, u := range n.budget.Usage() {
-		draws := u.Extras + u.Refused + u.Unused
+		draws := u.ExtraAttempts + u.Refused + u.Unused
 		if draws == drawn[u.Service] {
 			continue
 		}
@@ -54,16 +54,16 @@
 func (n *Node) logUsage(u budgeter.Usage) {
 	n.logger.Info().
 		Str("service", u.Service).
-		Int64("firsts", u.Firsts).
-		Int64("extras", u.Extras).
+		Int64("firsts", u.Requests).
+		Int64("extras", u.ExtraAttempts).
 		Int64("refused", u.Refused).
 		Int64("unused", u.Unused).
 		Float64("borrowed", u.Borrowed).
 		Float64("lent", u.Lent).
-		Float64("window_firsts", u.WindowFirsts).
-		Float64("window_extras", u.WindowExtras).
+		Float64("window_firsts", u.WindowRequests).
+		Float64("window_extras", u.WindowExtraAttempts).
 		Float64("bound", u.Bound).
-		Float64("left", u.Left).
-		Float64("part", u.Part).
+		Float64("left", u.Remaining).
+		Float64("part", u.Share).
 		Msg("retry_budget")
 }
