--- a/internal/gateway/apportioner/apportioner.go
+++ b/internal/gateway/apportioner/apportioner.go
@@ -1,11 +1,14 @@
-// Package apportioner tells a node its part of what all nodes may use together, so that no two nodes ever use the same part.
+// Package apportioner computes a node's share of a limit that applies to all nodes together. The
+// shares in use never add up to more than the whole limit.
 //
-// The nodes are those that the platform's store lists. A node uses its part only while its list is fresh, and only after it
-// has been listed for so long that all others that use theirs count it. Its part is then one of as many as there are nodes.
-// Only the first node that a deployment ever has need not wait.
+// The nodes are those listed in the platform's store, and each has an equal share. A node uses its
+// share only while its copy of the list is recent enough, and only after it has been listed for so
+// long that every other node using a share counts it. Only the first node that a deployment ever
+// has need not wait.
 //
-// This holds without a message: a node that uses its part at some moment has a list that is younger than MaxListAge. One that
-// began to use its part before that had been listed for longer, so it is on that list.
+// This needs no messages between nodes: a node that uses its share has a list younger than
+// MaxListAge. Any node that started using its share earlier had been listed for longer than that,
+// so it is on the list.
 package apportioner
 
 import (
@@ -14,54 +17,56 @@
 	"time"
 )
 
-// firstGrace is how long the first node of a deployment may use its part before it is listed.
-const firstGrace = 5 * time.Second
+// firstNodeGrace is how long the first node of a deployment may use its share before it is listed.
+const firstNodeGrace = 5 * time.Second
 
-// Options are the parts of an Apportioner; all are required.
+// Options configures an Apportioner. All fields are required.
 type Options struct {
 	// Self is this node's name.
 	Self string
-	// MaxListAge is the greatest age of a list by which a node uses its part.
+	// MaxListAge is the greatest age of the node list at which this node still uses its share.
 	MaxListAge time.Duration
-	// Retention is how long what a node has used keeps others from using it.
+	// Retention is how long usage by a node that is gone still counts against the limit.
 	Retention time.Duration
-	// Now is a clock that counts suspensions.
+	// Now returns a monotonic time that also advances while the system is suspended.
 	Now func() time.Duration
 }
 
-// Apportioner follows the list of nodes. It is safe for concurrent use.
+// Apportioner computes this node's share from the list of nodes. It is safe for concurrent use.
 type Apportioner struct {
 	options Options
 
 	mu sync.Mutex
-	// first says that no node was ever listed before this one started, and that no other is told so; since firstAt.
-	first   bool
-	firstAt time.Duration
-	// listed says that this node is on the list, since listedAt.
+	// firstNode is set on the only node that starts in a deployment where no node was ever listed;
+	// it was set at firstNodeAt.
+	firstNode   bool
+	firstNodeAt time.Duration
+	// listed is set while this node is on the list; it was added at listedAt.
 	listed   bool
 	listedAt time.Duration
-	// count is the number of nodes by which this one divides. It falls to next, the most nodes that were listed since
-	// fewerAt, when what the others used doesn't count any more.
-	count, next int
-	fewerAt     time.Duration
+	// nodeCount is the number of nodes that share the limit. It drops to lowerCount, the largest number of nodes listed
+	// since lowerSince, once usage by the nodes that left no longer counts. 0 in lowerCount means that no drop is pending.
+	nodeCount, lowerCount int
+	lowerSince            time.Duration
 }
 
-// New returns an apportioner that knows no list.
+// New returns an apportioner without a list of nodes.
 func New(options Options) *Apportioner {
 	return &Apportioner{options: options}
 }
 
-// SetFirstNode tells that this node is the first one of its deployment ever: nobody has used anything, and all others wait.
+// SetFirstNode marks this node as the first one that its deployment ever had. It may use its share at once, since there is no
+// earlier usage and all other nodes wait.
 func (a *Apportioner) SetFirstNode() {
 	now := a.options.Now()
 
 	a.mu.Lock()
 	defer a.mu.Unlock()
 
-	a.first, a.firstAt = true, now
+	a.firstNode, a.firstNodeAt = true, now
 }
 
-// Update takes in the names of the listed nodes.
+// Update sets the names of the listed nodes.
 func (a *Apportioner) Update(names []string) {
 	now := a.options.Now()
 
@@ -74,56 +79,56 @@
 	}
 
 	if !listed && a.listed {
-		a.first = false
+		a.firstNode = false
 	}
 
 	a.listed = listed
 
-	a.lowerLocked(now)
+	a.applyLowerCountLocked(now)
 
 	switch {
-	case len(names) >= a.count:
-		a.count, a.next = len(names), 0
-	case a.next == 0:
-		a.next, a.fewerAt = len(names), now
+	case len(names) >= a.nodeCount:
+		a.nodeCount, a.lowerCount = len(names), 0
+	case a.lowerCount == 0:
+		a.lowerCount, a.lowerSince = len(names), now
 	default:
-		a.next = max(a.next, len(names))
+		a.lowerCount = max(a.lowerCount, len(names))
 	}
 }
 
-// lowerLocked counts fewer nodes once what those that are gone have used doesn't count any more; a.mu is held.
-func (a *Apportioner) lowerLocked(now time.Duration) {
-	if a.next > 0 && now-a.fewerAt > a.settling() {
-		a.count, a.next = a.next, 0
+// applyLowerCountLocked lowers nodeCount once usage by the nodes that left no longer counts. The caller holds a.mu.
+func (a *Apportioner) applyLowerCountLocked(now time.Duration) {
+	if a.lowerCount > 0 && now-a.lowerSince > a.settlingTime() {
+		a.nodeCount, a.lowerCount = a.lowerCount, 0
 	}
 }
 
-// settling is how long a change of the list takes to be known to all and to have no more effects.
-func (a *Apportioner) settling() time.Duration {
+// settlingTime is the time after a change of the list until no node uses an older list and no earlier usage counts.
+func (a *Apportioner) settlingTime() time.Duration {
 	return a.options.MaxListAge + a.options.Retention
 }
 
-// Share returns this node's part, 0 to 1. The age is that of the list; known is false where it isn't known.
+// Share returns this node's share of the limit, from 0 to 1. age is the age of the list; known is false if the age is unknown.
 func (a *Apportioner) Share(age time.Duration, known bool) float64 {
 	now := a.options.Now()
 
 	a.mu.Lock()
 	defer a.mu.Unlock()
 
-	a.lowerLocked(now)
+	a.applyLowerCountLocked(now)
 
-	if !known || age > a.options.MaxListAge || !a.mayUseLocked(now) {
+	if !known || age > a.options.MaxListAge || !a.mayUseShareLocked(now) {
 		return 0
 	}
 
-	return 1 / float64(max(a.count, 1))
+	return 1 / float64(max(a.nodeCount, 1))
 }
 
-// mayUseLocked says whether all others that use their parts count this node; a.mu is held.
-func (a *Apportioner) mayUseLocked(now time.Duration) bool {
-	if a.first {
-		return a.listed || now-a.firstAt <= firstGrace
+// mayUseShareLocked reports whether all other nodes that use a share count this node. The caller holds a.mu.
+func (a *Apportioner) mayUseShareLocked(now time.Duration) bool {
+	if a.firstNode {
+		return a.listed || now-a.firstNodeAt <= firstNodeGrace
 	}
 
-	return a.listed && now-a.listedAt > a.settling()
+	return a.listed && now-a.listedAt > a.settlingTime()
 }
--- a/internal/gateway/apportioner/apportioner_test.go
+++ b/internal/gateway/apportioner/apportioner_test.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	fresh   = 10 * time.Second
-	lasting = 16 * time.Second
-	settled = fresh + lasting + time.Millisecond
+	maxListAge   = 10 * time.Second
+	retention    = 16 * time.Second
+	settlingTime = maxListAge + retention + time.Millisecond
 )
 
 type clock struct{ now time.Duration }
 
-func (c *clock) pass(d time.Duration) { c.now += d }
+func (c *clock) advance(d time.Duration) { c.now += d }
 
-func newNode(c *clock) *apportioner.Apportioner {
-	return apportioner.New(apportioner.Options{Self: "n0", MaxListAge: fresh, Retention: lasting, Now: func() time.Duration { return c.now }})
+func newApportioner(c *clock) *apportioner.Apportioner {
+	return apportioner.New(apportioner.Options{Self: "n0", MaxListAge: maxListAge, Retention: retention, Now: func() time.Duration { return c.now }})
 }
 
-func names(count int) []string {
+func nodeNames(count int) []string {
 	listed := make([]string, count)
 	for i := range listed {
 		listed[i] = fmt.Sprint("n", i)
@@ -33,93 +33,93 @@
 	return listed
 }
 
-// Guards against a node that uses a part before the others know of it.
+// A node must not use a share before the other nodes know about it, or the shares add up to more than the limit.
 func TestNodeWaitsUntilItIsKnown(t *testing.T) {
 	c := &clock{}
-	a := newNode(c)
+	a := newApportioner(c)
 	assert.Equal(t, a.Share(0, false), 0.0)
 
-	a.Update(names(9))
+	a.Update(nodeNames(9))
 	assert.Equal(t, a.Share(0, true), 0.0)
 
-	c.pass(settled - 2*time.Millisecond)
+	c.advance(settlingTime - 2*time.Millisecond)
 	assert.Equal(t, a.Share(0, true), 0.0)
 
-	c.pass(2 * time.Millisecond)
+	c.advance(2 * time.Millisecond)
 	assert.Equal(t, a.Share(0, true), 1.0/9)
 }
 
-// Guards against a node that uses a part by a list on which newer nodes may be missing.
+// A node must not use a share based on an old list, which may lack newer nodes.
 func TestPartEndsWithAListThatIsOld(t *testing.T) {
 	c := &clock{}
-	a := newNode(c)
-	a.Update(names(9))
-	c.pass(settled)
+	a := newApportioner(c)
+	a.Update(nodeNames(9))
+	c.advance(settlingTime)
 
-	assert.Equal(t, a.Share(fresh, true), 1.0/9)
-	assert.Equal(t, a.Share(fresh+1, true), 0.0)
+	assert.Equal(t, a.Share(maxListAge, true), 1.0/9)
+	assert.Equal(t, a.Share(maxListAge+1, true), 0.0)
 	assert.Equal(t, a.Share(0, true), 1.0/9)
 }
 
-// Guards against parts that grow while what the nodes that left have used still counts.
+// Shares must not grow while usage by nodes that left still counts.
 func TestPartsOfNodesThatLeftAreKeptForAWhile(t *testing.T) {
 	c := &clock{}
-	a := newNode(c)
-	a.Update(names(9))
-	c.pass(settled)
+	a := newApportioner(c)
+	a.Update(nodeNames(9))
+	c.advance(settlingTime)
 
-	// More nodes count at once.
-	a.Update(names(12))
+	// An increase applies at once.
+	a.Update(nodeNames(12))
 	assert.Equal(t, a.Share(0, true), 1.0/12)
 
-	a.Update(names(6))
+	a.Update(nodeNames(6))
 	assert.Equal(t, a.Share(0, true), 1.0/12)
 
-	c.pass(settled / 2)
-	a.Update(names(8))
-	c.pass(settled / 2)
-	a.Update(names(7))
+	c.advance(settlingTime / 2)
+	a.Update(nodeNames(8))
+	c.advance(settlingTime / 2)
+	a.Update(nodeNames(7))
 
-	// One more than eight is not sure to be gone yet.
-	c.pass(2 * time.Millisecond)
+	// The highest count since the decrease was eight.
+	c.advance(2 * time.Millisecond)
 	assert.Equal(t, a.Share(0, true), 1.0/8)
 
-	c.pass(settled)
+	c.advance(settlingTime)
 	assert.Equal(t, a.Share(0, true), 1.0/7)
 }
 
-// Guards against a node that goes on using its part although it was removed from the list.
+// A node that was removed from the list must stop using its share, and wait again once it is listed.
 func TestNodeThatIsNotListedHasNoPart(t *testing.T) {
 	c := &clock{}
-	a := newNode(c)
-	a.Update(names(9))
-	c.pass(settled)
-	a.Update(names(9)[1:])
+	a := newApportioner(c)
+	a.Update(nodeNames(9))
+	c.advance(settlingTime)
+	a.Update(nodeNames(9)[1:])
 	assert.Equal(t, a.Share(0, true), 0.0)
 
-	a.Update(names(9))
+	a.Update(nodeNames(9))
 	assert.Equal(t, a.Share(0, true), 0.0)
 
-	c.pass(settled)
+	c.advance(settlingTime)
 	assert.Equal(t, a.Share(0, true), 1.0/9)
 }
 
-// Guards against the first node of a deployment that goes on without being listed, so that others can't count it.
+// The first node of a deployment must not keep using its share without being listed, since other nodes can't count it then.
 func TestFirstNodeUsesItsPartAtOnce(t *testing.T) {
 	c := &clock{}
-	a := newNode(c)
+	a := newApportioner(c)
 	a.Update(nil)
 	a.SetFirstNode()
 	assert.Equal(t, a.Share(0, true), 1.0)
 
-	c.pass(5*time.Second + time.Millisecond)
+	c.advance(5*time.Second + time.Millisecond)
 	assert.Equal(t, a.Share(0, true), 0.0)
 
-	a.Update(names(3))
+	a.Update(nodeNames(3))
 	assert.Equal(t, a.Share(0, true), 1.0/3)
 
-	// It is no longer the first one once it was removed.
-	a.Update(names(3)[1:])
-	a.Update(names(3))
+	// A node that was removed from the list has to wait like any other.
+	a.Update(nodeNames(3)[1:])
+	a.Update(nodeNames(3))
 	assert.Equal(t, a.Share(0, true), 0.0)
 }
