--- a/internal/gateway/cataloguer/catalog.go
+++ b/internal/gateway/cataloguer/catalog.go
@@ -31,8 +31,8 @@
 	Digest uint64
 }
 
-// Known says whether a configuration was ever learned.
-func (s *State) Known() bool {
+// HasConfiguration says whether a configuration was ever learned.
+func (s *State) HasConfiguration() bool {
 	return s.Configuration.Version > 0
 }
 
@@ -79,8 +79,8 @@
 	return c.now()
 }
 
-// Age is how old the newest proof of the configuration is; false means that there is none.
-func (c *Catalog) Age() (time.Duration, bool) {
+// ConfigurationAge is how old the newest proof of the configuration is; false means that there is none.
+func (c *Catalog) ConfigurationAge() (time.Duration, bool) {
 	return c.since(&c.proven)
 }
 
@@ -99,8 +99,8 @@
 	return c.now() - time.Duration(at), true
 }
 
-// ProveRegistry records that the registry had all that stood in the store at the given time.
-func (c *Catalog) ProveRegistry(at time.Duration) {
+// MarkRegistryFresh records that the registry had all that stood in the store at the given time.
+func (c *Catalog) MarkRegistryFresh(at time.Duration) {
 	raise(&c.registryProven, int64(at))
 }
 
@@ -122,8 +122,8 @@
 	return c.changed
 }
 
-// Prove records that the known version was the newest at the given time. A proof of another version says nothing.
-func (c *Catalog) Prove(version int64, at time.Duration) {
+// MarkConfigurationFresh records that the known version was the newest at the given time. A proof of another version says nothing.
+func (c *Catalog) MarkConfigurationFresh(version int64, at time.Duration) {
 	if version < c.state.Load().Configuration.Version || version == 0 {
 		return
 	}
@@ -131,9 +131,9 @@
 	raise(&c.proven, int64(at))
 }
 
-// Configure takes in a configuration that was read at the given time. An older one is
+// ApplyConfiguration takes in a configuration that was read at the given time. An older one is
 // dropped: a node never goes back. It reports whether the version is new.
-func (c *Catalog) Configure(configuration Configuration, at time.Duration) bool {
+func (c *Catalog) ApplyConfiguration(configuration Configuration, at time.Duration) bool {
 	c.mu.Lock()
 	state := c.state.Load()
 	newer := configuration.Version > state.Configuration.Version
@@ -144,27 +144,27 @@
 	}
 	c.mu.Unlock()
 
-	c.Prove(configuration.Version, at)
+	c.MarkConfigurationFresh(configuration.Version, at)
 
 	return newer
 }
 
-// Register takes in a registry; afterOutage says that the store could not be read shortly
+// ApplyRegistry takes in a registry; afterOutage says that the store could not be read shortly
 // before. An older registry is dropped. It reports whether anything changed.
-func (c *Catalog) Register(registry Registry, afterOutage bool) bool {
+func (c *Catalog) ApplyRegistry(registry Registry, afterOutage bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
 	return c.registerLocked(registry, afterOutage)
 }
 
-// RegisterProven is Register and ProveRegistry in one: whoever waits for the change finds the proof.
-func (c *Catalog) RegisterProven(registry Registry, afterOutage bool, at time.Duration) bool {
+// ApplyFreshRegistry is ApplyRegistry and MarkRegistryFresh in one: whoever waits for the change finds the proof.
+func (c *Catalog) ApplyFreshRegistry(registry Registry, afterOutage bool, at time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
 	changed := c.registerLocked(registry, afterOutage)
-	c.ProveRegistry(at)
+	c.MarkRegistryFresh(at)
 
 	return changed
 }
@@ -192,9 +192,9 @@
 	return true
 }
 
-// Confirm records that the registry with the given digest was still the same at a revision of the store. Without it a
+// AdvanceRegistryRevision records that the registry with the given digest was still the same at a revision of the store. Without it a
 // node would take an older registry of another peer for a newer one, as it knows its own by an earlier revision.
-func (c *Catalog) Confirm(digest uint64, revision int64, kept int) {
+func (c *Catalog) AdvanceRegistryRevision(digest uint64, revision int64, kept int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
@@ -204,12 +204,12 @@
 	}
 
 	next := *state
-	next.Registry.Revision, next.Registry.Kept = revision, kept
+	next.Registry.Revision, next.Registry.RetainedUpstreams = revision, kept
 	c.state.Store(&next)
 }
 
-// ConfigurationOf returns an earlier configuration; false if it isn't kept.
-func (c *Catalog) ConfigurationOf(version int64) (*Configuration, bool) {
+// PreviousConfiguration returns an earlier configuration; false if it isn't kept.
+func (c *Catalog) PreviousConfiguration(version int64) (*Configuration, bool) {
 	state, ok := c.find(&c.configurations, func(s *State) bool { return s.Configuration.Version == version })
 	if !ok || version == 0 {
 		return nil, false
@@ -218,8 +218,8 @@
 	return &state.Configuration, true
 }
 
-// RegistryOf returns an earlier registry by its digest; false if it isn't kept.
-func (c *Catalog) RegistryOf(digest uint64) (*Registry, bool) {
+// PreviousRegistry returns an earlier registry by its digest; false if it isn't kept.
+func (c *Catalog) PreviousRegistry(digest uint64) (*Registry, bool) {
 	state, ok := c.find(&c.registries, func(s *State) bool { return s.Digest == digest })
 	if !ok || digest == 0 {
 		return nil, false
@@ -292,7 +292,7 @@
 		}
 
 		registry.Upstreams = append(registry.Upstreams, upstream)
-		registry.Kept++
+		registry.RetainedUpstreams++
 	}
 
 	slices.SortFunc(registry.Upstreams, func(a, b Upstream) int { return strings.Compare(a.ID, b.ID) })
--- a/internal/gateway/cataloguer/catalog_test.go
+++ b/internal/gateway/cataloguer/catalog_test.go
@@ -50,8 +50,8 @@
 func TestOlderConfigurationIsDropped(t *testing.T) {
 	c, clock := newCatalog()
 
-	assert.Assert(t, c.Configure(version(3), clock.now))
-	assert.Assert(t, !c.Configure(version(2), clock.now+time.Second))
+	assert.Assert(t, c.ApplyConfiguration(version(3), clock.now))
+	assert.Assert(t, !c.ApplyConfiguration(version(2), clock.now+time.Second))
 	assert.Equal(t, c.State().Configuration.Version, int64(3))
 }
 
@@ -60,24 +60,24 @@
 // Cause: any proof counted, also one of a version that the node has left behind.
 func TestProofOfOlderVersionSaysNothing(t *testing.T) {
 	c, clock := newCatalog()
-	_, known := c.Age()
+	_, known := c.ConfigurationAge()
 	assert.Assert(t, !known)
 
-	c.Configure(version(3), clock.now)
+	c.ApplyConfiguration(version(3), clock.now)
 	clock.now += 4 * time.Second
-	c.Prove(2, clock.now)
+	c.MarkConfigurationFresh(2, clock.now)
 
-	age, known := c.Age()
+	age, known := c.ConfigurationAge()
 	assert.Assert(t, known)
 	assert.Equal(t, age, 4*time.Second)
 
-	c.Prove(3, clock.now-time.Second)
-	age, _ = c.Age()
+	c.MarkConfigurationFresh(3, clock.now-time.Second)
+	age, _ = c.ConfigurationAge()
 	assert.Equal(t, age, time.Second)
 
 	// An answer that was asked for earlier takes nothing back.
-	c.Prove(3, clock.now-3*time.Second)
-	age, _ = c.Age()
+	c.MarkConfigurationFresh(3, clock.now-3*time.Second)
+	age, _ = c.ConfigurationAge()
 	assert.Equal(t, age, time.Second)
 }
 
@@ -86,20 +86,20 @@
 // Cause: a missing entry was taken for a dead upstream at once.
 func TestUpstreamsMissingAfterOutageStayForAWhile(t *testing.T) {
 	c, clock := newCatalog()
-	c.Register(registry(10, "a", "b", "c"), false)
+	c.ApplyRegistry(registry(10, "a", "b", "c"), false)
 
-	c.Register(registry(20, "a"), true)
+	c.ApplyRegistry(registry(20, "a"), true)
 	assert.DeepEqual(t, ids(c), []string{"a", "b", "c"})
-	assert.Equal(t, c.State().Registry.Kept, 2)
+	assert.Equal(t, c.State().Registry.RetainedUpstreams, 2)
 
 	clock.now += time.Second
-	c.Register(registry(21, "a", "b"), false)
+	c.ApplyRegistry(registry(21, "a", "b"), false)
 	assert.DeepEqual(t, ids(c), []string{"a", "b", "c"})
 
 	clock.now += 1300 * time.Millisecond
-	assert.Assert(t, c.Register(registry(21, "a", "b"), false))
+	assert.Assert(t, c.ApplyRegistry(registry(21, "a", "b"), false))
 	assert.DeepEqual(t, ids(c), []string{"a", "b"})
-	assert.Equal(t, c.State().Registry.Kept, 0)
+	assert.Equal(t, c.State().Registry.RetainedUpstreams, 0)
 }
 
 // Symptom: an upstream that left gets requests for two more seconds.
@@ -107,8 +107,8 @@
 // Cause: the grace for outages was given without an outage.
 func TestUpstreamsMissingWithoutOutageAreGone(t *testing.T) {
 	c, _ := newCatalog()
-	c.Register(registry(10, "a", "b"), false)
-	assert.Assert(t, c.Register(registry(11, "a"), false))
+	c.ApplyRegistry(registry(10, "a", "b"), false)
+	assert.Assert(t, c.ApplyRegistry(registry(11, "a"), false))
 	assert.DeepEqual(t, ids(c), []string{"a"})
 }
 
@@ -116,19 +116,19 @@
 // Sequence: a reader drops a kept entry; the store's revision has not changed.
 // Cause: only a higher revision counted as newer.
 func TestRegistryWithFewerKeptUpstreamsIsNewer(t *testing.T) {
-	r := cataloguer.Registry{Revision: 5, Kept: 1}
+	r := cataloguer.Registry{Revision: 5, RetainedUpstreams: 1}
 
-	assert.Assert(t, r.Newer(4, 0))
-	assert.Assert(t, r.Newer(5, 2))
-	assert.Assert(t, !r.Newer(5, 1))
-	assert.Assert(t, !r.Newer(6, 3))
+	assert.Assert(t, r.IsNewerThan(4, 0))
+	assert.Assert(t, r.IsNewerThan(5, 2))
+	assert.Assert(t, !r.IsNewerThan(5, 1))
+	assert.Assert(t, !r.IsNewerThan(6, 3))
 }
 
 func TestChangedIsClosedAtEachChange(t *testing.T) {
 	c, clock := newCatalog()
 	changed := c.Changed()
 
-	c.Configure(version(1), clock.now)
+	c.ApplyConfiguration(version(1), clock.now)
 
 	select {
 	case <-changed:
@@ -137,7 +137,7 @@
 	}
 
 	changed = c.Changed()
-	c.Register(registry(1), false)
+	c.ApplyRegistry(registry(1), false)
 
 	select {
 	case <-changed:
@@ -155,12 +155,12 @@
 		return cataloguer.Registry{Revision: revision, Upstreams: []cataloguer.Upstream{{ID: "a", Born: born, Address: address}}}
 	}
 
-	c.Register(listed(1, 100, "old"), false)
-	c.Register(listed(2, 200, "new"), false)
-	c.Register(listed(3, 100, "old"), false)
+	c.ApplyRegistry(listed(1, 100, "old"), false)
+	c.ApplyRegistry(listed(2, 200, "new"), false)
+	c.ApplyRegistry(listed(3, 100, "old"), false)
 	assert.Equal(t, c.State().Registry.Upstreams[0].Address, "new")
 
 	// One that doesn't tell its start replaces what is known.
-	c.Register(listed(4, 0, "other"), false)
+	c.ApplyRegistry(listed(4, 0, "other"), false)
 	assert.Equal(t, c.State().Registry.Upstreams[0].Address, "other")
 }
--- a/internal/gateway/cataloguer/change.go
+++ b/internal/gateway/cataloguer/change.go
@@ -10,34 +10,34 @@
 	"quincepath.example/quincepath/internal/quarantiner"
 )
 
-// ListChange turns one list of named entries into another.
-type ListChange[T any] struct {
+// ListDelta turns one list of named entries into another.
+type ListDelta[T any] struct {
 	// Put holds the entries that are new or differ, in the order of the newer list.
 	Put []T `json:"put,omitempty"`
 	// Remove names the entries that the newer list lacks.
 	Remove []string `json:"remove,omitempty"`
 }
 
-// ConfigurationChange turns one configuration into a newer one. It is small where few routes of many change: a
+// ConfigurationDelta turns one configuration into a newer one. It is small where few routes of many change: a
 // whole configuration of 2,000 routes has half a megabyte, and every node of a fleet needs each version.
-type ConfigurationChange struct {
+type ConfigurationDelta struct {
 	// Version is that of the newer configuration.
-	Version       int64                    `json:"version"`
-	Routes        ListChange[Route]        `json:"routes,omitzero"`
-	Services      ListChange[Service]      `json:"services,omitzero"`
-	Organisations ListChange[Organisation] `json:"organisations,omitzero"`
-	Limits        Limits                   `json:"limits"`
+	Version       int64                   `json:"version"`
+	Routes        ListDelta[Route]        `json:"routes,omitzero"`
+	Services      ListDelta[Service]      `json:"services,omitzero"`
+	Organisations ListDelta[Organisation] `json:"organisations,omitzero"`
+	Limits        Limits                  `json:"limits"`
 }
 
-// RegistryChange turns one registry into another.
-type RegistryChange struct {
-	Revision   int64                `json:"revision"`
-	Kept       int                  `json:"kept,omitempty"`
-	Unreadable int                  `json:"unreadable,omitempty"`
-	Upstreams  ListChange[Upstream] `json:"upstreams,omitzero"`
-	Nodes      ListChange[Node]     `json:"nodes,omitzero"`
+// RegistryDelta turns one registry into another.
+type RegistryDelta struct {
+	Revision          int64               `json:"revision"`
+	RetainedUpstreams int                 `json:"kept,omitempty"`
+	UnreadableEntries int                 `json:"unreadable,omitempty"`
+	Upstreams         ListDelta[Upstream] `json:"upstreams,omitzero"`
+	Nodes             ListDelta[Node]     `json:"nodes,omitzero"`
 	// Quarantined is named by the requests' keys.
-	Quarantined ListChange[quarantiner.Quarantine] `json:"quarantined,omitzero"`
+	Quarantined ListDelta[quarantiner.Quarantine] `json:"quarantined,omitzero"`
 }
 
 func routeName(r *Route) string               { return r.Name }
@@ -48,9 +48,9 @@
 
 func quarantineName(q *quarantiner.Quarantine) string { return q.Key.String() }
 
-// Change returns what turns the base into this configuration; false if entries can't be told apart by their names.
-func (c *Configuration) Change(base *Configuration) (ConfigurationChange, bool) {
-	change := ConfigurationChange{Version: c.Version, Limits: c.Limits}
+// DeltaFrom returns what turns the base into this configuration; false if entries can't be told apart by their names.
+func (c *Configuration) DeltaFrom(base *Configuration) (ConfigurationDelta, bool) {
+	change := ConfigurationDelta{Version: c.Version, Limits: c.Limits}
 
 	var routes, services, organisations bool
 
@@ -62,7 +62,7 @@
 }
 
 // Apply returns the newer configuration; the base stays as it is.
-func (c *ConfigurationChange) Apply(base *Configuration) Configuration {
+func (c *ConfigurationDelta) Apply(base *Configuration) Configuration {
 	return Configuration{
 		Version:       c.Version,
 		Routes:        applied(base.Routes, c.Routes, routeName),
@@ -72,9 +72,9 @@
 	}
 }
 
-// Change returns what turns the base into this registry; false if entries can't be told apart by their names.
-func (r *Registry) Change(base *Registry) (RegistryChange, bool) {
-	change := RegistryChange{Revision: r.Revision, Kept: r.Kept, Unreadable: r.Unreadable}
+// DeltaFrom returns what turns the base into this registry; false if entries can't be told apart by their names.
+func (r *Registry) DeltaFrom(base *Registry) (RegistryDelta, bool) {
+	change := RegistryDelta{Revision: r.Revision, RetainedUpstreams: r.RetainedUpstreams, UnreadableEntries: r.UnreadableEntries}
 
 	var upstreams, nodes, quarantined bool
 
@@ -86,13 +86,13 @@
 }
 
 // Apply returns the newer registry; the base stays as it is.
-func (c *RegistryChange) Apply(base *Registry) Registry {
+func (c *RegistryDelta) Apply(base *Registry) Registry {
 	return Registry{
-		Revision:   c.Revision,
-		Kept:       c.Kept,
-		Unreadable: c.Unreadable,
-		Upstreams:  applied(base.Upstreams, c.Upstreams, upstreamID),
-		Nodes:      applied(base.Nodes, c.Nodes, nodeName),
+		Revision:          c.Revision,
+		RetainedUpstreams: c.RetainedUpstreams,
+		UnreadableEntries: c.UnreadableEntries,
+		Upstreams:         applied(base.Upstreams, c.Upstreams, upstreamID),
+		Nodes:             applied(base.Nodes, c.Nodes, nodeName),
 
 		Quarantined: applied(base.Quarantined, c.Quarantined, quarantineName),
 	}
@@ -115,8 +115,8 @@
 }
 
 // changeOf returns what turns the older list into the newer one; false if a name stands twice in one of them.
-func changeOf[T any](older, newer []T, name func(*T) string) (ListChange[T], bool) {
-	var change ListChange[T]
+func changeOf[T any](older, newer []T, name func(*T) string) (ListDelta[T], bool) {
+	var change ListDelta[T]
 
 	former, unique := byName(older, name)
 	current, uniqueToo := byName(newer, name)
@@ -151,7 +151,7 @@
 }
 
 // applied returns the list with the change; an entry that stays keeps its place, new ones come last.
-func applied[T any](list []T, change ListChange[T], name func(*T) string) []T {
+func applied[T any](list []T, change ListDelta[T], name func(*T) string) []T {
 	if len(change.Put) == 0 && len(change.Remove) == 0 {
 		return list
 	}
--- a/internal/gateway/cataloguer/change_test.go
+++ b/internal/gateway/cataloguer/change_test.go
@@ -50,7 +50,7 @@
 		older, newer := drawConfiguration(t, 1), drawConfiguration(t, 2)
 		before := fmt.Sprint(older)
 
-		change, ok := newer.Change(&older)
+		change, ok := newer.DeltaFrom(&older)
 		assert.Assert(t, ok)
 		got := change.Apply(&older)
 
@@ -66,7 +66,7 @@
 	older := cataloguer.Configuration{Version: 1, Routes: []cataloguer.Route{{Name: "r", Host: "a"}, {Name: "r", Host: "b"}}}
 	newer := cataloguer.Configuration{Version: 2, Routes: []cataloguer.Route{{Name: "r", Host: "a"}}}
 
-	_, ok := newer.Change(&older)
+	_, ok := newer.DeltaFrom(&older)
 	assert.Assert(t, !ok)
 }
 
@@ -74,19 +74,19 @@
 	c := cataloguer.New(func() time.Duration { return time.Hour })
 
 	for version := range int64(10) {
-		c.Configure(cataloguer.Configuration{Version: version + 1}, 0)
-		c.Register(cataloguer.Registry{Revision: version, Upstreams: []cataloguer.Upstream{{ID: fmt.Sprint(version)}}}, false)
+		c.ApplyConfiguration(cataloguer.Configuration{Version: version + 1}, 0)
+		c.ApplyRegistry(cataloguer.Registry{Revision: version, Upstreams: []cataloguer.Upstream{{ID: fmt.Sprint(version)}}}, false)
 	}
 
-	_, kept := c.ConfigurationOf(1)
+	_, kept := c.PreviousConfiguration(1)
 	assert.Assert(t, !kept)
 
-	former, kept := c.ConfigurationOf(9)
+	former, kept := c.PreviousConfiguration(9)
 	assert.Assert(t, kept)
 	assert.Equal(t, former.Version, int64(9))
 
 	registry := cataloguer.Registry{Upstreams: []cataloguer.Upstream{{ID: "7"}}}
-	older, kept := c.RegistryOf(registry.Digest())
+	older, kept := c.PreviousRegistry(registry.Digest())
 	assert.Assert(t, kept)
 	assert.Equal(t, older.Revision, int64(7))
 }
@@ -96,11 +96,11 @@
 // Cause: a registry that did not change kept the revision at which it was first read.
 func TestConfirmedRegistryIsNotReplacedByAnOlderOne(t *testing.T) {
 	c := cataloguer.New(func() time.Duration { return time.Hour })
-	c.Register(cataloguer.Registry{Revision: 10, Upstreams: []cataloguer.Upstream{{ID: "new"}}}, false)
+	c.ApplyRegistry(cataloguer.Registry{Revision: 10, Upstreams: []cataloguer.Upstream{{ID: "new"}}}, false)
 
 	state := c.State()
-	c.Confirm(state.Digest, 20, 0)
-	c.Register(cataloguer.Registry{Revision: 15, Upstreams: []cataloguer.Upstream{{ID: "old"}}}, false)
+	c.AdvanceRegistryRevision(state.Digest, 20, 0)
+	c.ApplyRegistry(cataloguer.Registry{Revision: 15, Upstreams: []cataloguer.Upstream{{ID: "old"}}}, false)
 
 	assert.Equal(t, c.State().Registry.Upstreams[0].ID, "new")
 	assert.Equal(t, c.State().Registry.Revision, int64(20))
--- a/internal/gateway/cataloguer/scaling.go
+++ b/internal/gateway/cataloguer/scaling.go
@@ -11,8 +11,8 @@
 	// Minimum and Maximum bound the upstreams of one failure domain, regular and spot ones together; 0 <= Minimum <= Maximum.
 	Minimum int `json:"minimum"`
 	Maximum int `json:"maximum"`
-	// Boot is the time from an order to an upstream that serves.
-	Boot time.Duration `json:"boot"`
+	// BootTime is the time from an order to an upstream that serves.
+	BootTime time.Duration `json:"boot"`
 	// SpotPrice is that of a spot upstream as a part of a regular one's, from 0 on; nil where there are none.
 	SpotPrice *float64 `json:"spot_price,omitempty"`
 	// DomainPrices are the prices of one regular upstream for a second, by failure domain; never negative.
@@ -45,8 +45,8 @@
 		return errors.Newf("minimum: %d is negative", s.Minimum)
 	case s.Maximum < s.Minimum:
 		return errors.Newf("maximum: %d is below the minimum %d", s.Maximum, s.Minimum)
-	case s.Boot < 0:
-		return errors.Newf("boot time: %s is negative", s.Boot)
+	case s.BootTime < 0:
+		return errors.Newf("boot time: %s is negative", s.BootTime)
 	case s.SpotPrice != nil && *s.SpotPrice < 0:
 		return errors.Newf("spot price: %g is negative", *s.SpotPrice)
 	}
--- a/internal/gateway/cataloguer/scaling_test.go
+++ b/internal/gateway/cataloguer/scaling_test.go
@@ -17,7 +17,7 @@
 	}{
 		"minimum above maximum": {cataloguer.Scaling{Minimum: 3, Maximum: 2}, "services.chat.scaling: maximum: 2 is below the minimum 3"},
 		"negative minimum":      {cataloguer.Scaling{Minimum: -1}, "services.chat.scaling: minimum: -1 is negative"},
-		"negative boot time":    {cataloguer.Scaling{Boot: -1}, "services.chat.scaling: boot time: -1ns is negative"},
+		"negative boot time":    {cataloguer.Scaling{BootTime: -1}, "services.chat.scaling: boot time: -1ns is negative"},
 		"negative spot price":   {cataloguer.Scaling{SpotPrice: &negative}, "services.chat.scaling: spot price: -0.1 is negative"},
 		"negative price": {
 			cataloguer.Scaling{DomainPrices: map[string]float64{"sala": -1}}, "services.chat.scaling: price in sala: -1 is negative",
--- a/internal/gateway/cataloguer/types.go
+++ b/internal/gateway/cataloguer/types.go
@@ -143,16 +143,16 @@
 	Nodes     []Node     `json:"nodes"`
 	// Quarantined are requests that no node may run.
 	Quarantined []quarantiner.Quarantine `json:"quarantined,omitempty"`
-	// Kept is the number of upstreams that are listed although the store lacks them after an
+	// RetainedUpstreams is the number of upstreams that are listed although the store lacks them after an
 	// outage. It only falls while the revision stays.
-	Kept int `json:"kept,omitempty"`
-	// Unreadable is the number of entries that named nobody.
-	Unreadable int `json:"unreadable,omitempty"`
+	RetainedUpstreams int `json:"kept,omitempty"`
+	// UnreadableEntries is the number of entries that named nobody.
+	UnreadableEntries int `json:"unreadable,omitempty"`
 }
 
-// Newer says whether the registry goes before one with the given revision and number of kept upstreams.
-func (r *Registry) Newer(revision int64, kept int) bool {
-	return r.Revision > revision || r.Revision == revision && r.Kept < kept
+// IsNewerThan says whether the registry goes before one with the given revision and number of kept upstreams.
+func (r *Registry) IsNewerThan(revision int64, kept int) bool {
+	return r.Revision > revision || r.Revision == revision && r.RetainedUpstreams < kept
 }
 
 // sameEntries says whether both list the same.
--- a/internal/gateway/follower/answering.go
+++ b/internal/gateway/follower/answering.go
@@ -64,7 +64,7 @@
 
 // registryLag returns the value of RegistryLagMS.
 func registryLag(catalog *cataloguer.Catalog) int64 {
-	age, known := catalog.Age()
+	age, known := catalog.ConfigurationAge()
 	registryAge, registryKnown := catalog.RegistryAge()
 
 	if !known || !registryKnown {
@@ -83,7 +83,7 @@
 
 	// The age is read first: what is known then can only be newer.
 	answer := pullAnswer{AgeMS: -1}
-	if age, known := f.options.Catalog.Age(); known {
+	if age, known := f.options.Catalog.ConfigurationAge(); known {
 		answer.AgeMS = age.Milliseconds() + 1
 	}
 
@@ -95,7 +95,7 @@
 
 	state := f.options.Catalog.State()
 	answer.Version = state.Configuration.Version
-	answer.Revision, answer.Kept, answer.Digest = state.Registry.Revision, state.Registry.Kept, state.Digest
+	answer.Revision, answer.Kept, answer.Digest = state.Registry.Revision, state.Registry.RetainedUpstreams, state.Digest
 
 	if state.Configuration.Version > asked.Version {
 		parcel, base, err := f.parcels.configuration(state, asked.Version)
@@ -114,7 +114,7 @@
 
 	configured := answer.Configuration == nil || answer.Configuration.Last()
 
-	if configured && state.Digest != asked.Digest && state.Registry.Newer(asked.Revision, asked.Kept) {
+	if configured && state.Digest != asked.Digest && state.Registry.IsNewerThan(asked.Revision, asked.Kept) {
 		parcel, base, err := f.parcels.registry(state, asked.Digest)
 		if err != nil {
 			return nil, errors.Wrap(err, "pack the registry")
--- a/internal/gateway/follower/follower.go
+++ b/internal/gateway/follower/follower.go
@@ -233,7 +233,7 @@
 
 // age is how old the proof is; before the first one, how long the node waits for it.
 func (f *Follower) age() time.Duration {
-	if age, known := f.options.Catalog.Age(); known {
+	if age, known := f.options.Catalog.ConfigurationAge(); known {
 		return age
 	}
 
--- a/internal/gateway/follower/follower_test.go
+++ b/internal/gateway/follower/follower_test.go
@@ -499,7 +499,7 @@
 			time.Sleep(200 * time.Millisecond)
 
 			for name, m := range f.parts {
-				age, known := m.catalog.Age()
+				age, known := m.catalog.ConfigurationAge()
 				assert.Assert(t, known && age < 4*time.Second, "%s knows what was true %v ago", name, age)
 			}
 		}
@@ -650,8 +650,8 @@
 
 		both := []cataloguer.Upstream{{ID: "a"}, {ID: "b"}}
 		register := func(c *cataloguer.Catalog, revision int64, upstreams []cataloguer.Upstream) {
-			c.Configure(cataloguer.Configuration{Version: 1}, time.Hour)
-			c.Register(cataloguer.Registry{Revision: revision, Upstreams: upstreams}, false)
+			c.ApplyConfiguration(cataloguer.Configuration{Version: 1}, time.Hour)
+			c.ApplyRegistry(cataloguer.Registry{Revision: revision, Upstreams: upstreams}, false)
 		}
 
 		register(parent, 9, both)
@@ -661,7 +661,7 @@
 		other := cataloguer.New(now)
 		register(other, 9, both)
 		pullOnce(t, m, other)
-		parent.Confirm(parent.State().Digest, 20, 0)
+		parent.AdvanceRegistryRevision(parent.State().Digest, 20, 0)
 
 		register(child, 12, both)
 		pullOnce(t, m, child)
@@ -706,7 +706,7 @@
 		time.Sleep(10 * time.Second)
 
 		for name, m := range f.parts {
-			age, _ := m.catalog.Age()
+			age, _ := m.catalog.ConfigurationAge()
 			assert.Assert(t, age >= 10*time.Second, "%s believes that it knows what was true %v ago", name, age)
 		}
 	})
--- a/internal/gateway/follower/large_test.go
+++ b/internal/gateway/follower/large_test.go
@@ -69,7 +69,7 @@
 	oldest := time.Duration(0)
 
 	for _, m := range f.parts {
-		age, known := m.catalog.Age()
+		age, known := m.catalog.ConfigurationAge()
 		if !known {
 			return time.Hour
 		}
--- a/internal/gateway/follower/parcels.go
+++ b/internal/gateway/follower/parcels.go
@@ -43,8 +43,8 @@
 		return kept, uint64(from), nil
 	}
 
-	if base, ok := p.catalog.ConfigurationOf(from); ok {
-		if change, ok := state.Configuration.Change(base); ok {
+	if base, ok := p.catalog.PreviousConfiguration(from); ok {
+		if change, ok := state.Configuration.DeltaFrom(base); ok {
 			return pack(p.configurations, uint64(from), change)
 		}
 	}
@@ -66,8 +66,8 @@
 		return kept, from, nil
 	}
 
-	if base, ok := p.catalog.RegistryOf(from); ok {
-		if change, ok := state.Registry.Change(base); ok {
+	if base, ok := p.catalog.PreviousRegistry(from); ok {
+		if change, ok := state.Registry.DeltaFrom(base); ok {
 			return pack(p.registries, from, change)
 		}
 	}
--- a/internal/gateway/follower/pulling.go
+++ b/internal/gateway/follower/pulling.go
@@ -28,7 +28,7 @@
 // takeQuestion chooses the peer to ask now: the parent, or anyone while the proof is old.
 func (f *Follower) takeQuestion(t *tree) (question, bool) {
 	now := f.options.Catalog.Now()
-	age, known := f.options.Catalog.Age()
+	age, known := f.options.Catalog.ConfigurationAge()
 	// The first node asks another one as soon as its own reads fail.
 	stale := !known || isStale(t, age) || t.rank == 0 && age > storeInterval+storeTimeout/2
 
@@ -143,7 +143,7 @@
 	params := pullParams{
 		Version:  state.Configuration.Version,
 		Revision: state.Registry.Revision,
-		Kept:     state.Registry.Kept,
+		Kept:     state.Registry.RetainedUpstreams,
 		Digest:   state.Digest,
 		Held:     f.pages.Held(),
 	}
--- a/internal/gateway/follower/reading.go
+++ b/internal/gateway/follower/reading.go
@@ -124,11 +124,11 @@
 	isAlone := now-max(f.heardAt, f.startedAt) > aloneTime
 
 	switch {
-	case f.substitute || state.Known() && isFirst || !state.Known() && isSeed:
+	case f.substitute || state.HasConfiguration() && isFirst || !state.HasConfiguration() && isSeed:
 		return 0
 	case isAlone:
 		return aloneReadAge + f.spreadLocked(readAgeSpread)
-	case !state.Known():
+	case !state.HasConfiguration():
 		return startReadAge + f.spreadLocked(startSpread)
 	case len(t.order) == 1:
 		// It just started: peers answer it, but it doesn't know yet which of them live.
@@ -165,7 +165,7 @@
 	catalog := f.options.Catalog
 	begun := catalog.Now()
 	// Nobody reached the store for a while: entries may have lapsed that come back.
-	age, known := catalog.Age()
+	age, known := catalog.ConfigurationAge()
 	afterOutage := known && age > outageTime
 	wasStale := isStale(f.tree(), f.age())
 
@@ -222,7 +222,7 @@
 		f.takeChanges(ctx, changes, begun)
 	}
 
-	f.options.Catalog.Prove(f.options.Catalog.State().Configuration.Version, begun)
+	f.options.Catalog.MarkConfigurationFresh(f.options.Catalog.State().Configuration.Version, begun)
 	f.takeStored(ctx, begun, afterOutage)
 
 	return nil
@@ -232,11 +232,11 @@
 func (f *Follower) chooseBase() bool {
 	state := f.options.Catalog.State()
 	// What the catalog keeps of lapsed entries is not what the store holds.
-	if state.Registry.Kept == 0 && state.Registry.Revision > f.stored.Revision {
+	if state.Registry.RetainedUpstreams == 0 && state.Registry.Revision > f.stored.Revision {
 		f.stored = state.Registry
 	}
 
-	return state.Known() && f.stored.Revision > 0
+	return state.HasConfiguration() && f.stored.Revision > 0
 }
 
 // takeChanges takes in what was written to the store.
@@ -245,13 +245,13 @@
 		f.takeConfiguration(ctx, *changes.Configuration, begun)
 	}
 
-	change := cataloguer.RegistryChange{
-		Revision:   changes.Revision,
-		Unreadable: f.stored.Unreadable,
-		Upstreams:  cataloguer.ListChange[cataloguer.Upstream]{Put: changes.Upstreams, Remove: changes.GoneUpstreams},
-		Nodes:      cataloguer.ListChange[cataloguer.Node]{Put: changes.Nodes, Remove: changes.GoneNodes},
+	change := cataloguer.RegistryDelta{
+		Revision:          changes.Revision,
+		UnreadableEntries: f.stored.UnreadableEntries,
+		Upstreams:         cataloguer.ListDelta[cataloguer.Upstream]{Put: changes.Upstreams, Remove: changes.GoneUpstreams},
+		Nodes:             cataloguer.ListDelta[cataloguer.Node]{Put: changes.Nodes, Remove: changes.GoneNodes},
 
-		Quarantined: cataloguer.ListChange[quarantiner.Quarantine]{Put: changes.Quarantined, Remove: changes.Released},
+		Quarantined: cataloguer.ListDelta[quarantiner.Quarantine]{Put: changes.Quarantined, Remove: changes.Released},
 	}
 	f.stored = change.Apply(&f.stored)
 }
@@ -289,7 +289,7 @@
 }
 
 func (f *Follower) takeConfiguration(ctx context.Context, configuration cataloguer.Configuration, begun time.Duration) {
-	if f.options.Catalog.Configure(configuration, begun) {
+	if f.options.Catalog.ApplyConfiguration(configuration, begun) {
 		f.logConfiguration("store", begun)
 		f.spreadFromStore(ctx)
 	}
@@ -297,7 +297,7 @@
 
 // takeStored takes in the registry as the store had it at begun.
 func (f *Follower) takeStored(ctx context.Context, begun time.Duration, afterOutage bool) {
-	if f.options.Catalog.RegisterProven(f.stored, afterOutage, begun) {
+	if f.options.Catalog.ApplyFreshRegistry(f.stored, afterOutage, begun) {
 		f.logRegistry("store")
 		f.spreadFromStore(ctx)
 	}
@@ -321,7 +321,7 @@
 
 	f.soundAt, f.failedReads = begun, 0
 	f.reader, f.provenAt = f.options.Self.Name, begun
-	f.substitute = f.options.Catalog.State().Known()
+	f.substitute = f.options.Catalog.State().HasConfiguration()
 }
 
 func (f *Follower) noteStore(err error) {
--- a/internal/gateway/follower/taking.go
+++ b/internal/gateway/follower/taking.go
@@ -19,7 +19,7 @@
 			return false, err
 		}
 
-		if whole && catalog.Configure(configuration, at) {
+		if whole && catalog.ApplyConfiguration(configuration, at) {
 			f.logConfiguration("peer", begun)
 
 			changed = true
@@ -28,11 +28,11 @@
 		more = !whole
 	}
 
-	catalog.Prove(answer.Version, at)
+	catalog.MarkConfigurationFresh(answer.Version, at)
 
 	// A registry that is newer than the configuration would hide the changes between them from the next read of the store.
 	if catalog.State().Configuration.Version >= answer.Version {
-		catalog.Confirm(answer.Digest, answer.Revision, answer.Kept)
+		catalog.AdvanceRegistryRevision(answer.Digest, answer.Revision, answer.Kept)
 
 		if answer.Registry != nil {
 			registry, whole, err := f.unpackRegistry(*answer.Registry)
@@ -41,9 +41,9 @@
 			}
 
 			// The parcel may be from an earlier time at which the peer's registry held the same.
-			registry.Revision, registry.Kept = answer.Revision, answer.Kept
+			registry.Revision, registry.RetainedUpstreams = answer.Revision, answer.Kept
 
-			if whole && catalog.Register(registry, false) {
+			if whole && catalog.ApplyRegistry(registry, false) {
 				f.logRegistry("peer")
 
 				changed = true
@@ -53,7 +53,7 @@
 		}
 
 		if provenAt, ok := answer.registryProvenAt(at); ok && catalog.State().Registry.Revision >= answer.Revision {
-			catalog.ProveRegistry(provenAt)
+			catalog.MarkRegistryFresh(provenAt)
 		}
 	}
 
@@ -83,7 +83,7 @@
 		return cataloguer.Configuration{}, false, nil
 	}
 
-	var change cataloguer.ConfigurationChange
+	var change cataloguer.ConfigurationDelta
 	if err := parcel.Unpack(&change); err != nil {
 		return cataloguer.Configuration{}, false, err
 	}
@@ -109,7 +109,7 @@
 		return cataloguer.Registry{}, false, nil
 	}
 
-	var change cataloguer.RegistryChange
+	var change cataloguer.RegistryDelta
 	if err := parcel.Unpack(&change); err != nil {
 		return cataloguer.Registry{}, false, err
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -347,7 +347,7 @@
 	n.listMembers(state.Registry.Nodes)
 
 	// Routes without upstreams would only refuse.
-	if !state.Known() || state.Registry.Revision == 0 {
+	if !state.HasConfiguration() || state.Registry.Revision == 0 {
 		return
 	}
 
--- a/internal/gateway/leader/scaling.go
+++ b/internal/gateway/leader/scaling.go
@@ -49,7 +49,7 @@
 	policy, on := l.options.Policy()
 	state := l.options.State()
 
-	if !on || !state.Known() || state.Registry.Revision == 0 {
+	if !on || !state.HasConfiguration() || state.Registry.Revision == 0 {
 		return
 	}
 
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -54,7 +54,7 @@
 	state := n.catalog.State()
 	age := -time.Millisecond
 
-	if known, ok := n.catalog.Age(); ok {
+	if known, ok := n.catalog.ConfigurationAge(); ok {
 		age = known
 	}
 
@@ -63,8 +63,8 @@
 		AgeMS:      age.Milliseconds(),
 		Revision:   state.Registry.Revision,
 		Upstreams:  len(state.Registry.Upstreams),
-		Kept:       state.Registry.Kept,
-		Unreadable: state.Registry.Unreadable,
+		Kept:       state.Registry.RetainedUpstreams,
+		Unreadable: state.Registry.UnreadableEntries,
 		Nodes:      len(state.Registry.Nodes),
 		Live:       len(n.live()),
 	}
--- a/internal/gateway/relayer/refusal.go
+++ b/internal/gateway/relayer/refusal.go
@@ -43,7 +43,7 @@
 		event = event.Int64("version", table.Version)
 	}
 
-	if age, known := r.options.Catalog.Age(); known {
+	if age, known := r.options.Catalog.ConfigurationAge(); known {
 		event = event.Dur("configuration_age_ms", age)
 	}
 
--- a/internal/gateway/relayer/relayer_test.go
+++ b/internal/gateway/relayer/relayer_test.go
@@ -85,7 +85,7 @@
 
 	w := &world{t: t, now: time.Hour, bodies: bodies, extra: extra, quarantine: noQuarantine{}, usage: &usage{counts: make(map[string]int)}}
 	w.catalog = cataloguer.New(func() time.Duration { return w.now })
-	w.catalog.Configure(configuration(), w.now)
+	w.catalog.ApplyConfiguration(configuration(), w.now)
 	w.restart()
 
 	return w
--- a/internal/gateway/relayer/request.go
+++ b/internal/gateway/relayer/request.go
@@ -206,7 +206,7 @@
 		return nil, nil
 	}
 
-	age, known := r.options.Catalog.Age()
+	age, known := r.options.Catalog.ConfigurationAge()
 	if !known || age > r.options.KeyFreshness() {
 		return nil, classifier.New(classifier.SettingsUnavailable, "what the node knows of keys is too old").After(later())
 	}
