--- a/internal/gateway/follower/answering.go
+++ b/internal/gateway/follower/answering.go
@@ -22,7 +22,7 @@
 	Kept     int    `json:"kept,omitempty"`
 	Digest   uint64 `json:"digest,omitempty"`
 	// Held is what the asker has of a parcel that is coming in pages.
-	Held packer.Part `json:"held,omitzero"`
+	Held packer.Progress `json:"held,omitzero"`
 }
 
 // offer is a page of a parcel.
@@ -112,7 +112,7 @@
 		f.wakeUp()
 	}
 
-	configured := answer.Configuration == nil || answer.Configuration.Last()
+	configured := answer.Configuration == nil || answer.Configuration.IsLast()
 
 	if configured && state.Digest != asked.Digest && state.Registry.IsNewerThan(asked.Revision, asked.Kept) {
 		parcel, base, err := f.parcels.registry(state, asked.Digest)
--- a/internal/gateway/follower/parcels.go
+++ b/internal/gateway/follower/parcels.go
@@ -20,17 +20,17 @@
 	// configurations and registries are those that lead to version and digest, by the version or digest that they change; 0
 	// stands for the whole.
 	version        int64
-	configurations map[uint64]packer.Parcel
+	configurations map[uint64]packer.Payload
 	digest         uint64
-	registries     map[uint64]packer.Parcel
+	registries     map[uint64]packer.Payload
 }
 
 func newParcels(catalog *cataloguer.Catalog) *parcels {
-	return &parcels{catalog: catalog, configurations: make(map[uint64]packer.Parcel), registries: make(map[uint64]packer.Parcel)}
+	return &parcels{catalog: catalog, configurations: make(map[uint64]packer.Payload), registries: make(map[uint64]packer.Payload)}
 }
 
 // configuration returns the parcel that brings a peer to the state's configuration, and the version that it changes; 0 if it is whole.
-func (p *parcels) configuration(state *cataloguer.State, from int64) (packer.Parcel, uint64, error) {
+func (p *parcels) configuration(state *cataloguer.State, from int64) (packer.Payload, uint64, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
@@ -53,7 +53,7 @@
 }
 
 // registry returns the parcel that brings a peer to the state's registry, and the digest of the one that it changes; 0 if it is whole.
-func (p *parcels) registry(state *cataloguer.State, from uint64) (packer.Parcel, uint64, error) {
+func (p *parcels) registry(state *cataloguer.State, from uint64) (packer.Payload, uint64, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
@@ -76,14 +76,14 @@
 }
 
 // pack encodes a value unless it is kept already.
-func pack(kept map[uint64]packer.Parcel, base uint64, value any) (packer.Parcel, uint64, error) {
+func pack(kept map[uint64]packer.Payload, base uint64, value any) (packer.Payload, uint64, error) {
 	if parcel, ok := kept[base]; ok {
 		return parcel, base, nil
 	}
 
 	parcel, err := packer.Pack(value)
 	if err != nil {
-		return packer.Parcel{}, 0, err
+		return packer.Payload{}, 0, err
 	}
 
 	if len(kept) >= mostParcels {
--- a/internal/gateway/follower/pulling.go
+++ b/internal/gateway/follower/pulling.go
@@ -145,7 +145,7 @@
 		Revision: state.Registry.Revision,
 		Kept:     state.Registry.RetainedUpstreams,
 		Digest:   state.Digest,
-		Held:     f.pages.Held(),
+		Held:     f.pages.Progress(),
 	}
 
 	var answer pullAnswer
--- a/internal/gateway/packer/packer.go
+++ b/internal/gateway/packer/packer.go
@@ -30,18 +30,18 @@
 	formCompressed = 'c'
 )
 
-// Parcel is an encoded value. The zero parcel is empty.
-type Parcel struct {
+// Payload is an encoded value. The zero Payload is empty.
+type Payload struct {
 	// ID tells parcels apart by what they hold.
 	ID   uint64
 	data []byte
 }
 
 // Pack encodes a value.
-func Pack(value any) (Parcel, error) {
+func Pack(value any) (Payload, error) {
 	encoded, err := json.Marshal(value)
 	if err != nil {
-		return Parcel{}, errors.Wrap(err, "encode a parcel")
+		return Payload{}, errors.Wrap(err, "encode a parcel")
 	}
 
 	if len(encoded) <= plainBytes {
@@ -52,26 +52,26 @@
 
 	writer, err := flate.NewWriter(packed, flate.BestSpeed)
 	if err != nil {
-		return Parcel{}, errors.Wrap(err, "compress a parcel")
+		return Payload{}, errors.Wrap(err, "compress a parcel")
 	}
 
 	if _, err := writer.Write(encoded); err != nil {
-		return Parcel{}, errors.Wrap(err, "compress a parcel")
+		return Payload{}, errors.Wrap(err, "compress a parcel")
 	}
 
 	if err := writer.Close(); err != nil {
-		return Parcel{}, errors.Wrap(err, "compress a parcel")
+		return Payload{}, errors.Wrap(err, "compress a parcel")
 	}
 
 	return newParcel(bytes.Clone(packed.Bytes())), nil
 }
 
-func newParcel(data []byte) Parcel {
-	return Parcel{ID: xxhash.Sum64(data), data: data}
+func newParcel(data []byte) Payload {
+	return Payload{ID: xxhash.Sum64(data), data: data}
 }
 
 // Unpack decodes the value.
-func (p Parcel) Unpack(value any) error {
+func (p Payload) Unpack(value any) error {
 	if len(p.data) == 0 {
 		return errors.New("the parcel is empty")
 	}
@@ -102,13 +102,13 @@
 	Data   []byte `json:"data"`
 }
 
-// Last says whether the parcel ends with this page.
-func (p Page) Last() bool {
+// IsLast says whether the parcel ends with this page.
+func (p Page) IsLast() bool {
 	return p.Offset+len(p.Data) >= p.Size
 }
 
 // Page returns the page after the part that the asker holds: the first one if that is of another parcel.
-func (p Parcel) Page(held Part) Page {
+func (p Payload) Page(held Progress) Page {
 	offset := 0
 	if held.ID == p.ID && held.Bytes > 0 && held.Bytes < len(p.data) {
 		offset = held.Bytes
@@ -119,8 +119,8 @@
 	return Page{ID: p.ID, Size: len(p.data), Offset: offset, Data: p.data[offset:end]}
 }
 
-// Part says how much of a parcel is held. The zero Part means none.
-type Part struct {
+// Progress says how much of a parcel is held. The zero Progress means none.
+type Progress struct {
 	ID    uint64 `json:"id"`
 	Bytes int    `json:"bytes"`
 }
@@ -131,35 +131,35 @@
 	data []byte
 }
 
-// Held is the part that came so far.
-func (a *Assembler) Held() Part {
-	return Part{ID: a.id, Bytes: len(a.data)}
+// Progress is the part that came so far.
+func (a *Assembler) Progress() Progress {
+	return Progress{ID: a.id, Bytes: len(a.data)}
 }
 
 // Add takes in a page. It returns the parcel once it is whole. A page that doesn't continue what is held begins
 // anew if it is a first one, and else says nothing.
-func (a *Assembler) Add(page Page) (Parcel, bool, error) {
+func (a *Assembler) Add(page Page) (Payload, bool, error) {
 	switch {
 	case page.Size < 0 || page.Size > mostBytes || page.Offset < 0:
 		*a = Assembler{}
 
-		return Parcel{}, false, errors.Newf("a parcel of %d bytes, page at %d", page.Size, page.Offset)
+		return Payload{}, false, errors.Newf("a parcel of %d bytes, page at %d", page.Size, page.Offset)
 	case page.Offset == 0:
 		*a = Assembler{id: page.ID}
 	case page.ID != a.id || page.Offset != len(a.data):
-		return Parcel{}, false, nil
+		return Payload{}, false, nil
 	}
 
 	a.data = append(a.data, page.Data...)
 	if len(a.data) < page.Size {
-		return Parcel{}, false, nil
+		return Payload{}, false, nil
 	}
 
 	whole := newParcel(a.data)
 	*a = Assembler{}
 
 	if whole.ID != page.ID {
-		return Parcel{}, false, errors.New("the parcel isn't what its id says")
+		return Payload{}, false, errors.New("the parcel isn't what its id says")
 	}
 
 	return whole, true, nil
--- a/internal/gateway/packer/packer_test.go
+++ b/internal/gateway/packer/packer_test.go
@@ -10,7 +10,7 @@
 	"quincepath.example/quincepath/internal/gateway/packer"
 )
 
-func pack(t testing.TB, value any) packer.Parcel {
+func pack(t testing.TB, value any) packer.Payload {
 	t.Helper()
 
 	parcel, err := packer.Pack(value)
@@ -42,13 +42,13 @@
 		var assembler packer.Assembler
 
 		for {
-			whole, done, err := assembler.Add(parcel.Page(assembler.Held()))
+			whole, done, err := assembler.Add(parcel.Page(assembler.Progress()))
 			assert.NilError(t, err)
 
 			if !done {
 				// A page that comes twice changes nothing.
 				if rapid.Bool().Draw(t, "twice") {
-					_, _, err := assembler.Add(parcel.Page(packer.Part{ID: parcel.ID, Bytes: 1}))
+					_, _, err := assembler.Add(parcel.Page(packer.Progress{ID: parcel.ID, Bytes: 1}))
 					assert.NilError(t, err)
 				}
 
@@ -58,7 +58,7 @@
 			var got string
 			assert.NilError(t, whole.Unpack(&got))
 			assert.Equal(t, got, want)
-			assert.Equal(t, assembler.Held(), packer.Part{})
+			assert.Equal(t, assembler.Progress(), packer.Progress{})
 
 			return
 		}
@@ -73,21 +73,21 @@
 
 	var assembler packer.Assembler
 
-	_, done, err := assembler.Add(first.Page(packer.Part{}))
+	_, done, err := assembler.Add(first.Page(packer.Progress{}))
 	assert.NilError(t, err)
 	assert.Assert(t, !done)
 
-	held := assembler.Held()
+	held := assembler.Progress()
 	assert.Equal(t, second.Page(held).Offset, 0, "the other parcel begins anew")
 
-	_, done, err = assembler.Add(second.Page(packer.Part{ID: second.ID, Bytes: held.Bytes}))
+	_, done, err = assembler.Add(second.Page(packer.Progress{ID: second.ID, Bytes: held.Bytes}))
 	assert.NilError(t, err)
 	assert.Assert(t, !done)
-	assert.Equal(t, assembler.Held(), held, "a later page of the other parcel says nothing")
+	assert.Equal(t, assembler.Progress(), held, "a later page of the other parcel says nothing")
 
 	_, _, err = assembler.Add(second.Page(held))
 	assert.NilError(t, err)
-	assert.Equal(t, assembler.Held().ID, second.ID)
+	assert.Equal(t, assembler.Progress().ID, second.ID)
 }
 
 func TestBrokenPagesAreErrors(t *testing.T) {
@@ -102,11 +102,11 @@
 	_, _, err = assembler.Add(packer.Page{ID: 7, Size: 3, Offset: -1})
 	assert.ErrorContains(t, err, "page at -1")
 
-	assert.ErrorContains(t, packer.Parcel{}.Unpack(new(string)), "empty")
+	assert.ErrorContains(t, packer.Payload{}.Unpack(new(string)), "empty")
 }
 
 func TestLongParcelsAreCompressed(t *testing.T) {
-	page := pack(t, strings.Repeat("route ", 100_000)).Page(packer.Part{})
-	assert.Assert(t, page.Last())
+	page := pack(t, strings.Repeat("route ", 100_000)).Page(packer.Progress{})
+	assert.Assert(t, page.IsLast())
 	assert.Assert(t, page.Size < 60_000, "%d bytes", page.Size)
 }
