--- a/internal/gateway/follower/announcing.go
+++ b/internal/gateway/follower/announcing.go
@@ -146,7 +146,7 @@
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 
-	f.count(func(c *Counters) { c.Listings++ })
+	f.count(func(c *Counters) { c.AnnounceWrites++ })
 
 	if err := f.options.Store.Announce(ctx, nodes); err != nil {
 		f.options.Logger.Warn().Err(err).Int("nodes", len(nodes)).Msg("announce_failed")
@@ -175,7 +175,7 @@
 		return nil
 	}
 
-	gone := f.options.Gone()
+	gone := f.options.DepartedNodes()
 	listed := f.options.Catalog.State().Registry.Nodes
 
 	return slices.DeleteFunc(gone, func(name string) bool {
--- a/internal/gateway/follower/follower.go
+++ b/internal/gateway/follower/follower.go
@@ -33,8 +33,8 @@
 // tick is how often a node looks at what is due.
 const tick = 100 * time.Millisecond
 
-// ErrHistoryGone says that the store doesn't know any more what changed since a revision.
-var ErrHistoryGone = errors.New("the store dropped that history")
+// ErrHistoryCompacted says that the store doesn't know any more what changed since a revision.
+var ErrHistoryCompacted = errors.New("the store dropped that history")
 
 // Store reads and writes the platform's store. Revision and Configuration are linearizable reads.
 type Store interface {
@@ -44,7 +44,7 @@
 	Configuration(ctx context.Context) (cataloguer.Configuration, int64, error)
 	// Registry returns the upstreams, the nodes and the requests in quarantine.
 	Registry(ctx context.Context) (cataloguer.Registry, error)
-	// Changes returns what changed after a revision, or ErrHistoryGone. It may lack the newest changes.
+	// Changes returns what changed after a revision, or ErrHistoryCompacted. It may lack the newest changes.
 	Changes(ctx context.Context, after int64) (Changes, error)
 	// Announce lists nodes in the registry.
 	Announce(ctx context.Context, nodes []cataloguer.Node) error
@@ -58,14 +58,14 @@
 	Revision int64
 	// Configuration is nil if it was not written.
 	Configuration *cataloguer.Configuration
-	// Upstreams, Nodes and Quarantined were written, those in GoneUpstreams, by id, GoneNodes, by name, and Released, by the
+	// Upstreams, Nodes and Quarantined were written, those in RemovedUpstreams, by id, RemovedNodes, by name, and RemovedQuarantines, by the
 	// request's key, removed or overwritten by what can't be read. Nothing stands in both.
-	Upstreams     []cataloguer.Upstream
-	Nodes         []cataloguer.Node
-	Quarantined   []quarantiner.Quarantine
-	GoneUpstreams []string
-	GoneNodes     []string
-	Released      []string
+	Upstreams          []cataloguer.Upstream
+	Nodes              []cataloguer.Node
+	Quarantined        []quarantiner.Quarantine
+	RemovedUpstreams   []string
+	RemovedNodes       []string
+	RemovedQuarantines []string
 }
 
 // Peers reaches other nodes.
@@ -83,11 +83,11 @@
 	Self cataloguer.Node
 	// Seeds are peers to ask while no others are known; they may be gone.
 	Seeds func() []string
-	// Live returns the names of the nodes that answer, this one included, in any order.
-	Live func() []string
-	// Gone returns the names of listed nodes that were not reached for so long that they won't come back.
-	Gone   func() []string
-	Logger zerolog.Logger
+	// LiveNodes returns the names of the nodes that answer, this one included, in any order.
+	LiveNodes func() []string
+	// DepartedNodes returns the names of listed nodes that were not reached for so long that they won't come back.
+	DepartedNodes func() []string
+	Logger        zerolog.Logger
 }
 
 // Follower feeds one catalog. It is safe for concurrent use.
@@ -217,7 +217,7 @@
 // tree returns the tree over the nodes that live now. It is made anew only when these or the registry change: it takes
 // 0.1 ms of a core for 300 nodes, ten times a second.
 func (f *Follower) tree() *tree {
-	live := f.options.Live()
+	live := f.options.LiveNodes()
 	state := f.options.Catalog.State()
 
 	f.mu.Lock()
--- a/internal/gateway/follower/follower_test.go
+++ b/internal/gateway/follower/follower_test.go
@@ -94,7 +94,7 @@
 	m.catalog = cataloguer.New(func() time.Duration { return time.Hour + time.Since(begun) })
 	m.follower = follower.New(follower.Options{
 		Catalog: m.catalog, Store: m, Peers: m, Self: f.self(name),
-		Seeds: func() []string { return seeds }, Live: m.live, Gone: f.gone, Logger: zerolog.Nop(),
+		Seeds: func() []string { return seeds }, LiveNodes: m.live, DepartedNodes: f.gone, Logger: zerolog.Nop(),
 	})
 
 	f.mu.Lock()
@@ -246,7 +246,7 @@
 	defer m.fleet.mu.Unlock()
 
 	if after < m.fleet.history {
-		return follower.Changes{}, follower.ErrHistoryGone
+		return follower.Changes{}, follower.ErrHistoryCompacted
 	}
 
 	if m.fleet.hidden {
@@ -267,13 +267,13 @@
 
 	for id := range f.formerIDs {
 		if !slices.Contains(f.ids, id) {
-			changes.GoneUpstreams = append(changes.GoneUpstreams, id)
+			changes.RemovedUpstreams = append(changes.RemovedUpstreams, id)
 		}
 	}
 
 	for name := range f.formerNodes {
 		if !slices.ContainsFunc(f.nodes, func(n cataloguer.Node) bool { return n.Name == name }) {
-			changes.GoneNodes = append(changes.GoneNodes, name)
+			changes.RemovedNodes = append(changes.RemovedNodes, name)
 		}
 	}
 
@@ -355,10 +355,10 @@
 	}
 
 	handlers := map[string]func(context.Context, string, json.RawMessage) (any, error){
-		follower.MethodPull:     other.follower.HandlePull,
-		follower.MethodChanged:  other.follower.HandleChanged,
-		follower.MethodAnnounce: other.follower.HandleAnnounce,
-		follower.MethodRead:     other.follower.HandleRead,
+		follower.MethodPull:      other.follower.HandlePull,
+		follower.MethodChanged:   other.follower.HandleChanged,
+		follower.MethodAnnounce:  other.follower.HandleAnnounce,
+		follower.MethodReadStore: other.follower.HandleReadStore,
 	}
 
 	answer, err := handlers[method](ctx, m.name, data)
@@ -476,7 +476,7 @@
 		names = append(names, name)
 	}
 
-	return follower.Order(names)[0]
+	return follower.SortByHash(names)[0]
 }
 
 // Symptom: nodes that the store turns away refuse all keys.
@@ -644,7 +644,7 @@
 		m := &member{fleet: alone, name: "parent", catalog: parent}
 		m.follower = follower.New(follower.Options{
 			Catalog: parent, Store: m, Peers: m, Self: cataloguer.Node{Name: "parent"},
-			Seeds: func() []string { return nil }, Live: m.live, Gone: alone.gone, Logger: zerolog.Nop(),
+			Seeds: func() []string { return nil }, LiveNodes: m.live, DepartedNodes: alone.gone, Logger: zerolog.Nop(),
 		})
 		alone.parts["parent"] = m
 
@@ -677,7 +677,7 @@
 	child := &member{fleet: asked.fleet, name: "child", catalog: catalog}
 	child.follower = follower.New(follower.Options{
 		Catalog: catalog, Store: child, Peers: child, Self: cataloguer.Node{Name: "child"},
-		Seeds: func() []string { return nil }, Live: child.live, Gone: asked.fleet.gone, Logger: zerolog.Nop(),
+		Seeds: func() []string { return nil }, LiveNodes: child.live, DepartedNodes: asked.fleet.gone, Logger: zerolog.Nop(),
 	})
 
 	_, err := child.follower.HandleChanged(t.Context(), asked.name, nil)
--- a/internal/gateway/follower/handover.go
+++ b/internal/gateway/follower/handover.go
@@ -17,8 +17,8 @@
 	handOverPause = 10 * time.Second
 )
 
-// MethodRead tells a peer that the store refuses the caller, and asks it to try.
-const MethodRead = "catalog.read"
+// MethodReadStore tells a peer that the store refuses the caller, and asks it to try.
+const MethodReadStore = "catalog.read"
 
 // handOver asks the node a few places behind this one to read the store, which refuses this one: it may serve that one. A
 // store that doesn't answer at all is away, and more calls would not help.
@@ -30,17 +30,17 @@
 		return
 	}
 
-	f.count(func(c *Counters) { c.HandOvers++ })
+	f.count(func(c *Counters) { c.Handovers++ })
 
 	go func() {
-		if err := f.options.Peers.Notify(ctx, t.order[next], MethodRead, struct{}{}); err != nil {
+		if err := f.options.Peers.Notify(ctx, t.order[next], MethodReadStore, struct{}{}); err != nil {
 			f.options.Logger.Debug().Err(err).Str("peer", t.order[next]).Msg("hand_over_failed")
 		}
 	}()
 }
 
-// HandleRead answers MethodRead.
-func (f *Follower) HandleRead(_ context.Context, _ string, _ json.RawMessage) (any, error) {
+// HandleReadStore answers MethodReadStore.
+func (f *Follower) HandleReadStore(_ context.Context, _ string, _ json.RawMessage) (any, error) {
 	now := f.options.Catalog.Now()
 
 	f.mu.Lock()
--- a/internal/gateway/follower/pulling.go
+++ b/internal/gateway/follower/pulling.go
@@ -71,7 +71,7 @@
 	}
 
 	f.asking, f.askedAt = true, now
-	f.counters.Questions++
+	f.counters.Pulls++
 
 	return question{peer: peer, timeout: peerTimeout << min(f.failedAsks, mostPeerDoublings)}
 }
@@ -199,7 +199,7 @@
 
 	if err != nil {
 		f.failedAsks++
-		f.counters.FailedQuestions++
+		f.counters.FailedPulls++
 
 		return
 	}
--- a/internal/gateway/follower/reading.go
+++ b/internal/gateway/follower/reading.go
@@ -170,7 +170,7 @@
 	wasStale := isStale(f.tree(), f.age())
 
 	err := f.readChanges(ctx, timeout, begun, afterOutage)
-	if errors.Is(err, ErrHistoryGone) {
+	if errors.Is(err, ErrHistoryCompacted) {
 		err = f.readWhole(ctx, begun, afterOutage)
 	}
 
@@ -189,10 +189,10 @@
 	}
 }
 
-// readChanges brings what is known up to the store's present revision. It returns ErrHistoryGone if all must be read.
+// readChanges brings what is known up to the store's present revision. It returns ErrHistoryCompacted if all must be read.
 func (f *Follower) readChanges(ctx context.Context, timeout, begun time.Duration, afterOutage bool) error {
 	if !f.chooseBase() {
-		return ErrHistoryGone
+		return ErrHistoryCompacted
 	}
 
 	reading, cancel := context.WithTimeout(ctx, timeout)
@@ -204,7 +204,7 @@
 	}
 
 	if revision < f.stored.Revision {
-		return ErrHistoryGone
+		return ErrHistoryCompacted
 	}
 
 	if revision > f.stored.Revision {
@@ -216,7 +216,7 @@
 		// The list of changes may lag behind the store; without this check a key that was taken away could be honoured
 		// for longer than it may, by a proof that it is still there.
 		if changes.Revision < revision {
-			return ErrHistoryGone
+			return ErrHistoryCompacted
 		}
 
 		f.takeChanges(ctx, changes, begun)
@@ -248,10 +248,10 @@
 	change := cataloguer.RegistryDelta{
 		Revision:          changes.Revision,
 		UnreadableEntries: f.stored.UnreadableEntries,
-		Upstreams:         cataloguer.ListDelta[cataloguer.Upstream]{Put: changes.Upstreams, Remove: changes.GoneUpstreams},
-		Nodes:             cataloguer.ListDelta[cataloguer.Node]{Put: changes.Nodes, Remove: changes.GoneNodes},
+		Upstreams:         cataloguer.ListDelta[cataloguer.Upstream]{Put: changes.Upstreams, Remove: changes.RemovedUpstreams},
+		Nodes:             cataloguer.ListDelta[cataloguer.Node]{Put: changes.Nodes, Remove: changes.RemovedNodes},
 
-		Quarantined: cataloguer.ListDelta[quarantiner.Quarantine]{Put: changes.Quarantined, Remove: changes.Released},
+		Quarantined: cataloguer.ListDelta[quarantiner.Quarantine]{Put: changes.Quarantined, Remove: changes.RemovedQuarantines},
 	}
 	f.stored = change.Apply(&f.stored)
 }
@@ -261,7 +261,7 @@
 	reading, cancel := context.WithTimeout(ctx, wholeTimeout)
 	defer cancel()
 
-	f.count(func(c *Counters) { c.WholeReads++ })
+	f.count(func(c *Counters) { c.FullReads++ })
 
 	configuration, revision, err := f.options.Store.Configuration(reading)
 	if err != nil {
--- a/internal/gateway/follower/tree.go
+++ b/internal/gateway/follower/tree.go
@@ -30,8 +30,8 @@
 	children []string
 }
 
-// Order sorts nodes so that all nodes agree on it without a message and a name says nothing of the place.
-func Order(nodes []string) []string {
+// SortByHash sorts nodes so that all nodes agree on it without a message and a name says nothing of the place.
+func SortByHash(nodes []string) []string {
 	order := slices.Clone(nodes)
 
 	slices.SortFunc(order, func(a, b string) int {
@@ -64,7 +64,7 @@
 		known[node.Name] = node
 	}
 
-	strong, weak := cataloguer.SplitByCapacity(Order(live), listed)
+	strong, weak := cataloguer.SplitByCapacity(SortByHash(live), listed)
 	t := &tree{order: append(strong, weak...)}
 	t.rank = max(slices.Index(t.order, self), 0)
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -196,19 +196,19 @@
 	n.messages.Handle(broker.MethodReport, n.broker.HandleReport)
 
 	n.follower = follower.New(follower.Options{
-		Catalog: n.catalog,
-		Store:   store,
-		Peers:   n.messages,
-		Self:    n.self(),
-		Seeds:   func() []string { return n.current.Load().Gateway.Seeds },
-		Live:    n.live,
-		Gone:    n.gone,
-		Logger:  logger,
+		Catalog:       n.catalog,
+		Store:         store,
+		Peers:         n.messages,
+		Self:          n.self(),
+		Seeds:         func() []string { return n.current.Load().Gateway.Seeds },
+		LiveNodes:     n.live,
+		DepartedNodes: n.gone,
+		Logger:        logger,
 	})
 	n.messages.Handle(follower.MethodPull, n.follower.HandlePull)
 	n.messages.Handle(follower.MethodChanged, n.follower.HandleChanged)
 	n.messages.Handle(follower.MethodAnnounce, n.follower.HandleAnnounce)
-	n.messages.Handle(follower.MethodRead, n.follower.HandleRead)
+	n.messages.Handle(follower.MethodReadStore, n.follower.HandleReadStore)
 
 	n.quarantine = quarantiner.New(quarantiner.Options{
 		Self:     settings.Node.PeerListen,
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -69,7 +69,7 @@
 }
 
 func (s *store) Changes(context.Context, int64) (follower.Changes, error) {
-	return follower.Changes{}, follower.ErrHistoryGone
+	return follower.Changes{}, follower.ErrHistoryCompacted
 }
 
 func (s *store) Announce(_ context.Context, nodes []cataloguer.Node) error {
