--- a/internal/gateway/follower/pulling.go
+++ b/internal/gateway/follower/pulling.go
@@ -28,7 +28,7 @@
 // takeQuestion chooses the peer to ask now: the parent, or anyone while the proof is old.
 func (f *Follower) takeQuestion(t *tree) (question, bool) {
 	now := f.options.Catalog.Now()
-	age, known := f.options.Catalog.Age()
+	age, known := f.options.Catalog.ConfigurationAge()
 	// The first node asks another one as soon as its own reads fail.
 	stale := !known || isStale(t, age) || t.rank == 0 && age > storeInterval+storeTimeout/2
 
@@ -71,7 +71,7 @@
 	}
 
 	f.asking, f.askedAt = true, now
-	f.counters.Questions++
+	f.counters.Pulls++
 
 	return question{peer: peer, timeout: peerTimeout << min(f.failedAsks, mostPeerDoublings)}
 }
@@ -143,9 +143,9 @@
 	params := pullParams{
 		Version:  state.Configuration.Version,
 		Revision: state.Registry.Revision,
-		Kept:     state.Registry.Kept,
+		Kept:     state.Registry.RetainedUpstreams,
 		Digest:   state.Digest,
-		Held:     f.pages.Held(),
+		Held:     f.pages.Progress(),
 	}
 
 	var answer pullAnswer
@@ -199,7 +199,7 @@
 
 	if err != nil {
 		f.failedAsks++
-		f.counters.FailedQuestions++
+		f.counters.FailedPulls++
 
 		return
 	}
