--- a/internal/gateway/dialer/dialer.go
+++ b/internal/gateway/dialer/dialer.go
@@ -47,14 +47,14 @@
 var (
 	// ErrNotSent marks failures before any byte of the request can have left.
 	ErrNotSent = errors.New("the request was not sent")
-	// ErrFull says that this process has as many connections as it may, and all are in use.
-	ErrFull = errors.New("all connections to upstreams are in use")
-	// ErrBroken marks failures after which the request may have run.
-	ErrBroken = errors.New("the connection to the upstream broke")
+	// ErrTooManyConnections says that this process has as many connections as it may, and all are in use.
+	ErrTooManyConnections = errors.New("all connections to upstreams are in use")
+	// ErrConnectionLost marks failures after which the request may have run.
+	ErrConnectionLost = errors.New("the connection to the upstream broke")
 )
 
-// Target is the upstream of one exchange.
-type Target struct {
+// Upstream is the upstream of one exchange.
+type Upstream struct {
 	// ID tells two upstreams apart that had the same address one after the other.
 	ID      string
 	Address string
@@ -133,7 +133,7 @@
 
 // Exchange sends the request and reads the header of its answer. The exchange ends with ctx,
 // also while the body is read. Errors wrap ErrNotSent or ErrBroken.
-func (d *Dialer) Exchange(ctx context.Context, target Target, request *Request) (*Response, error) {
+func (d *Dialer) Exchange(ctx context.Context, target Upstream, request *Request) (*Response, error) {
 	c, err := d.connect(ctx, target)
 	if err != nil {
 		return nil, errors.Mark(err, ErrNotSent)
@@ -150,7 +150,7 @@
 			return nil, err
 		}
 
-		return nil, errors.Mark(err, ErrBroken)
+		return nil, errors.Mark(err, ErrConnectionLost)
 	}
 
 	response.conn, response.dialer, response.target, response.stop = c, d, target, stop
@@ -196,7 +196,7 @@
 }
 
 // connect returns a kept connection that is still sound, or a new one.
-func (d *Dialer) connect(ctx context.Context, target Target) (*conn, error) {
+func (d *Dialer) connect(ctx context.Context, target Upstream) (*conn, error) {
 	for {
 		kept := d.take(target.ID)
 		if kept == nil {
@@ -218,9 +218,9 @@
 }
 
 // makeConnection opens a new connection.
-func (d *Dialer) makeConnection(ctx context.Context, target Target) (*conn, error) {
+func (d *Dialer) makeConnection(ctx context.Context, target Upstream) (*conn, error) {
 	if !d.reserve() {
-		return nil, ErrFull
+		return nil, ErrTooManyConnections
 	}
 
 	raw, err := d.dial.DialContext(ctx, "tcp", target.Address)
@@ -239,7 +239,7 @@
 
 // IsDown says whether the upstream takes no new connection. It returns false where that can't be found out. Kept
 // connections tell nothing of an upstream that lost its power.
-func (d *Dialer) IsDown(ctx context.Context, target Target) bool {
+func (d *Dialer) IsDown(ctx context.Context, target Upstream) bool {
 	c, err := d.makeConnection(ctx, target)
 
 	switch {
@@ -248,7 +248,7 @@
 		d.keep(target.ID, c)
 
 		return false
-	case errors.Is(err, ErrFull), errors.Is(err, context.Canceled):
+	case errors.Is(err, ErrTooManyConnections), errors.Is(err, context.Canceled):
 		return false
 	default:
 		return true
@@ -326,8 +326,8 @@
 	d.idle[id] = append(d.idle[id], c)
 }
 
-// Sweep closes idle connections whose time is over and those to upstreams that aren't listed any more.
-func (d *Dialer) Sweep(listed func(id string) bool) {
+// CloseStale closes idle connections whose time is over and those to upstreams that aren't listed any more.
+func (d *Dialer) CloseStale(listed func(id string) bool) {
 	now := time.Now()
 
 	var closing []*conn
--- a/internal/gateway/dialer/dialer_test.go
+++ b/internal/gateway/dialer/dialer_test.go
@@ -92,7 +92,7 @@
 
 // exchange sends a request and returns the body.
 func exchange(d *dialer.Dialer, s *script, request *dialer.Request) (string, error) {
-	response, err := d.Exchange(context.Background(), dialer.Target{ID: "u", Address: s.address}, request)
+	response, err := d.Exchange(context.Background(), dialer.Upstream{ID: "u", Address: s.address}, request)
 	if err != nil {
 		return "", err
 	}
@@ -115,7 +115,7 @@
 
 	assert.Equal(t, s.connections.Load(), int64(1))
 	assert.DeepEqual(t, d.Counters(), dialer.Counters{Opened: 1, Reused: 4, Idle: 1, Open: 1})
-	d.Sweep(func(string) bool { return false })
+	d.CloseStale(func(string) bool { return false })
 	assert.Equal(t, d.Counters().Idle, int64(0))
 }
 
@@ -175,7 +175,7 @@
 	_, err := exchange(d, s, get("one"))
 	assert.NilError(t, err)
 	_, err = exchange(d, s, get("two"))
-	assert.Assert(t, errors.Is(err, dialer.ErrBroken))
+	assert.Assert(t, errors.Is(err, dialer.ErrConnectionLost))
 	assert.Equal(t, s.requests.Load(), int64(2))
 }
 
@@ -243,8 +243,8 @@
 		close(gone)
 	}()
 
-	_, err = dialer.New(1000).Exchange(ctx, dialer.Target{ID: "u", Address: listener.Addr().String()}, get("one"))
-	assert.Assert(t, errors.Is(err, dialer.ErrBroken))
+	_, err = dialer.New(1000).Exchange(ctx, dialer.Upstream{ID: "u", Address: listener.Addr().String()}, get("one"))
+	assert.Assert(t, errors.Is(err, dialer.ErrConnectionLost))
 	<-gone
 }
 
@@ -258,11 +258,11 @@
 	first, second := serve(t, answer), serve(t, answer)
 	d := dialer.New(1)
 
-	response, err := d.Exchange(context.Background(), dialer.Target{ID: "first", Address: first.address}, get("one"))
+	response, err := d.Exchange(context.Background(), dialer.Upstream{ID: "first", Address: first.address}, get("one"))
 	assert.NilError(t, err)
 
-	_, err = d.Exchange(context.Background(), dialer.Target{ID: "second", Address: second.address}, get("two"))
-	assert.Assert(t, errors.Is(err, dialer.ErrFull))
+	_, err = d.Exchange(context.Background(), dialer.Upstream{ID: "second", Address: second.address}, get("two"))
+	assert.Assert(t, errors.Is(err, dialer.ErrTooManyConnections))
 	assert.Assert(t, errors.Is(err, dialer.ErrNotSent))
 
 	_, err = io.ReadAll(response.Body)
@@ -270,7 +270,7 @@
 	response.Close()
 	assert.Equal(t, d.Counters().Idle, int64(1))
 
-	response, err = d.Exchange(context.Background(), dialer.Target{ID: "second", Address: second.address}, get("three"))
+	response, err = d.Exchange(context.Background(), dialer.Upstream{ID: "second", Address: second.address}, get("three"))
 	assert.NilError(t, err)
 	assert.Equal(t, d.Counters().Open, int64(1))
 	assert.Equal(t, d.Counters().Idle, int64(0))
--- a/internal/gateway/dialer/response.go
+++ b/internal/gateway/dialer/response.go
@@ -14,7 +14,7 @@
 	*http.Response
 	conn     *conn
 	dialer   *Dialer
-	target   Target
+	target   Upstream
 	stop     func() bool
 	complete bool
 	// unwritten says that the answer came before the request was sent whole.
@@ -50,7 +50,7 @@
 	case errors.Is(err, io.EOF):
 		b.response.complete = true
 	case err != nil && errors.Is(err, os.ErrDeadlineExceeded):
-		err = errors.Mark(err, ErrBroken)
+		err = errors.Mark(err, ErrConnectionLost)
 	}
 
 	return n, err
--- a/internal/gateway/relayer/attempt.go
+++ b/internal/gateway/relayer/attempt.go
@@ -73,7 +73,7 @@
 		})
 	}
 
-	target := dialer.Target{ID: choice.Upstream, Address: choice.Address}
+	target := dialer.Upstream{ID: choice.Upstream, Address: choice.Address}
 	response, err := r.options.Dialer.Exchange(ctx, target, r.outgoing(request, choice))
 	request.settleExtra(err)
 
@@ -138,7 +138,7 @@
 func (r *Relayer) failed(ctx context.Context, request *request, choice balancer.Choice, sent time.Time, err error, outcome *balancer.Outcome) verdict {
 	if errors.Is(err, dialer.ErrNotSent) {
 		// That this node has no connection left says nothing of the upstream.
-		if ctx.Err() == nil && !errors.Is(err, dialer.ErrFull) {
+		if ctx.Err() == nil && !errors.Is(err, dialer.ErrTooManyConnections) {
 			*outcome = balancer.Unreachable
 		}
 
--- a/internal/gateway/upstreams.go
+++ b/internal/gateway/upstreams.go
@@ -22,7 +22,7 @@
 }
 
 func (n *Node) isDown(ctx context.Context, upstream, address string) bool {
-	return n.dialer.IsDown(ctx, dialer.Target{ID: upstream, Address: address})
+	return n.dialer.IsDown(ctx, dialer.Upstream{ID: upstream, Address: address})
 }
 
 // forgetRestarted drops what is known of upstreams that started again under their id. Only followCatalog calls it.
@@ -45,7 +45,7 @@
 
 	// One that went away without a word leaves its connections open, and each would cost a request its time.
 	if len(restarted) > 0 {
-		n.dialer.Sweep(func(id string) bool { return !restarted[id] })
+		n.dialer.CloseStale(func(id string) bool { return !restarted[id] })
 	}
 }
 
@@ -66,6 +66,6 @@
 			listed[upstream.ID] = true
 		}
 
-		n.dialer.Sweep(func(id string) bool { return listed[id] })
+		n.dialer.CloseStale(func(id string) bool { return listed[id] })
 	}
 }
