--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -227,21 +227,21 @@
 	n.messages.Handle(tallier.MethodCollect, n.tallier.HandleCollect)
 
 	n.relayer = relayer.New(relayer.Options{
-		Headers:      protocol.Headers,
-		Catalog:      n.catalog,
-		Table:        n.table.Load,
-		Chooser:      n.broker,
-		Dialer:       n.dialer,
-		Budget:       n.budget,
-		Quarantine:   n.quarantine,
-		Usage:        n.tallier,
-		KeyFreshness: n.keyFreshness,
-		Leaving:      n.leaving,
-		LastRequests: lastRequests,
-		BodyMemory:   bodyMemory,
-		Meter:        n.meter,
-		Attempts:     n.attempts,
-		Logger:       logger,
+		Headers:        protocol.Headers,
+		Catalog:        n.catalog,
+		Table:          n.table.Load,
+		Chooser:        n.broker,
+		Dialer:         n.dialer,
+		RetryBudget:    n.budget,
+		Quarantine:     n.quarantine,
+		Usage:          n.tallier,
+		MaxKeyAge:      n.keyFreshness,
+		LeavingFor:     n.leaving,
+		LeavingGrace:   lastRequests,
+		MaxBodyMemory:  bodyMemory,
+		Meter:          n.meter,
+		FailedAttempts: n.attempts,
+		Logger:         logger,
 	})
 
 	return n
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -33,7 +33,7 @@
 		"beliefs":     func() any { return n.beliefs() },
 		"follower":    func() any { return n.follower.Counters() },
 		"attempts":    func() any { return n.failedAttempts() },
-		"avoided":     func() any { return n.relayer.Avoided() },
+		"avoided":     func() any { return n.relayer.AvoidedUpstreams() },
 		"callers":     func() any { return n.acceptor.Counters() },
 		"connections": func() any { return n.dialer.Counters() },
 		"pools":       func() any { return n.broker.Stats(time.Now()) },
--- a/internal/gateway/relayer/attempt.go
+++ b/internal/gateway/relayer/attempt.go
@@ -238,7 +238,7 @@
 }
 
 func (r *Relayer) logAttempt(request *request, choice balancer.Choice, result string, err error) {
-	r.options.Attempts.Add(result, 1)
+	r.options.FailedAttempts.Add(result, 1)
 	r.options.Logger.Info().
 		Str("request_id", request.id).
 		Stringer("request_key", request.key).
--- a/internal/gateway/relayer/avoider.go
+++ b/internal/gateway/relayer/avoider.go
@@ -142,17 +142,17 @@
 	}
 }
 
-// Avoided counts the upstreams that want no requests of this node.
-type Avoided struct {
+// AvoidedUpstreams counts the upstreams that want no requests of this node.
+type AvoidedUpstreams struct {
 	Leaving int `json:"leaving"`
 	Resting int `json:"resting"`
 }
 
-func (v *avoider) counts(now time.Time) Avoided {
+func (v *avoider) counts(now time.Time) AvoidedUpstreams {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 
-	var counts Avoided
+	var counts AvoidedUpstreams
 
 	for _, a := range v.upstreams {
 		switch {
--- a/internal/gateway/relayer/avoider_test.go
+++ b/internal/gateway/relayer/avoider_test.go
@@ -33,7 +33,7 @@
 	// One that is gone for good is forgotten.
 	v.update(nil, now.Add(time.Minute))
 	v.update(nil, now.Add(3*time.Minute))
-	assert.Equal(t, v.counts(now), Avoided{})
+	assert.Equal(t, v.counts(now), AvoidedUpstreams{})
 }
 
 func TestRestEnds(t *testing.T) {
@@ -48,7 +48,7 @@
 	ids, rest := v.list("desk", now)
 	assert.Equal(t, len(ids), 2)
 	assert.Equal(t, rest, 3*time.Second)
-	assert.Equal(t, v.counts(now), Avoided{Resting: 3})
+	assert.Equal(t, v.counts(now), AvoidedUpstreams{Resting: 3})
 
 	ids, rest = v.list("desk", now.Add(3*time.Second))
 	assert.DeepEqual(t, ids, []string{"w"})
--- a/internal/gateway/relayer/relayer.go
+++ b/internal/gateway/relayer/relayer.go
@@ -78,25 +78,25 @@
 	Headers Headers
 	Catalog *cataloguer.Catalog
 	// Table returns the routes in force, nil before the first configuration.
-	Table   func() *router.Table
-	Chooser Chooser
-	Dialer  *dialer.Dialer
-	Budget  *budgeter.Budgeter
+	Table       func() *router.Table
+	Chooser     Chooser
+	Dialer      *dialer.Dialer
+	RetryBudget *budgeter.Budgeter
 	// Quarantine judges the requests by their content.
 	Quarantine Quarantine
 	Usage      Usage
-	// KeyFreshness is the greatest age of what is known of keys at which they are still honoured.
-	KeyFreshness func() time.Duration
-	// Leaving says since when the node is in a planned stop; zero means that it isn't.
-	Leaving func() time.Duration
-	// LastRequests is how long after the begin of a planned stop requests are still taken.
-	LastRequests time.Duration
-	// BodyMemory bounds the bytes of request bodies that are held at once.
-	BodyMemory int64
+	// MaxKeyAge is the greatest age of what is known of keys at which they are still honoured.
+	MaxKeyAge func() time.Duration
+	// LeavingFor says since when the node is in a planned stop; zero means that it isn't.
+	LeavingFor func() time.Duration
+	// LeavingGrace is how long after the begin of a planned stop requests are still taken.
+	LeavingGrace time.Duration
+	// MaxBodyMemory bounds the bytes of request bodies that are held at once.
+	MaxBodyMemory int64
 	// Meter counts requests by route; Attempts counts failed attempts by their result.
-	Meter    *meter.Meter
-	Attempts *expvar.Map
-	Logger   zerolog.Logger
+	Meter          *meter.Meter
+	FailedAttempts *expvar.Map
+	Logger         zerolog.Logger
 }
 
 // Relayer handles the requests of callers. It is safe for concurrent use.
@@ -124,9 +124,9 @@
 	return r.inFlight.Load()
 }
 
-// Forget drops what is known of an upstream that started again: signs of life from before say nothing of the requests
+// ForgetUpstream drops what is known of an upstream that started again: signs of life from before say nothing of the requests
 // that it has lost.
-func (r *Relayer) Forget(upstream string) {
+func (r *Relayer) ForgetUpstream(upstream string) {
 	r.vitals.forget(upstream)
 }
 
@@ -135,8 +135,8 @@
 	r.avoider.update(listed, time.Now())
 }
 
-// Avoided counts the upstreams that have asked this node for no more requests.
-func (r *Relayer) Avoided() Avoided {
+// AvoidedUpstreams counts the upstreams that have asked this node for no more requests.
+func (r *Relayer) AvoidedUpstreams() AvoidedUpstreams {
 	return r.avoider.counts(time.Now())
 }
 
@@ -147,12 +147,12 @@
 
 	arrived := time.Now()
 
-	if r.options.Leaving() > 0 {
+	if r.options.LeavingFor() > 0 {
 		// The caller shall use another node from now on.
 		w.Header().Set("Connection", "close")
 	}
 
-	held := &reservation{total: &r.bodies, most: r.options.BodyMemory}
+	held := &reservation{total: &r.bodies, most: r.options.MaxBodyMemory}
 	defer held.release()
 
 	request, failure := r.accept(w, incoming, arrived, held)
@@ -162,7 +162,7 @@
 		return
 	}
 
-	r.options.Budget.First(request.service)
+	r.options.RetryBudget.First(request.service)
 
 	if r.quarantined(request) {
 		r.refuse(w, request.id, request, quarantiner.Refusal(request.quarantined))
@@ -211,7 +211,7 @@
 		if r.avoider.avoids(choice.Upstream, time.Now()) {
 			// The choice was made before the upstream said so, or by a node that doesn't know.
 			r.options.Chooser.End(request.workID(), balancer.Abandoned)
-			r.options.Attempts.Add("choice_declined", 1)
+			r.options.FailedAttempts.Add("choice_declined", 1)
 
 			request.declined++
 			if request.declined == mostDeclined {
@@ -304,7 +304,7 @@
 		return true
 	}
 
-	charge, ok := r.options.Budget.Acquire(ctx, request.service)
+	charge, ok := r.options.RetryBudget.Acquire(ctx, request.service)
 	if !ok {
 		r.options.Meter.Refused(request.route.Name, classifier.RetryBudgetSpent)
 		r.options.Logger.Warn().Str("request_id", request.id).Str("service", request.service).Msg("retry_budget_spent")
--- a/internal/gateway/relayer/relayer_test.go
+++ b/internal/gateway/relayer/relayer_test.go
@@ -96,13 +96,13 @@
 	table := router.New(configuration())
 	handler := relayer.New(relayer.Options{
 		Headers: names, Catalog: w.catalog, Table: func() *router.Table { return table }, Chooser: w, Dialer: dialer.New(1000),
-		Budget: budgeter.New(budgeter.Options{
+		RetryBudget: budgeter.New(budgeter.Options{
 			Extra: float64(w.extra), Window: time.Hour, Part: func() float64 { return 1 }, Now: func() time.Duration { return w.now },
 		}),
-		Quarantine:   w.quarantine,
-		Usage:        w.usage,
-		KeyFreshness: func() time.Duration { return 4 * time.Second }, Leaving: func() time.Duration { return w.leaving }, LastRequests: time.Second,
-		BodyMemory: w.bodies, Meter: meter.New(), Attempts: new(expvar.Map), Logger: zerolog.Nop(),
+		Quarantine: w.quarantine,
+		Usage:      w.usage,
+		MaxKeyAge:  func() time.Duration { return 4 * time.Second }, LeavingFor: func() time.Duration { return w.leaving }, LeavingGrace: time.Second,
+		MaxBodyMemory: w.bodies, Meter: meter.New(), FailedAttempts: new(expvar.Map), Logger: zerolog.Nop(),
 	})
 	w.relayer = handler
 	w.server = httptest.NewServer(handler)
@@ -585,7 +585,7 @@
 	}
 
 	assert.Equal(t, resting.count(), 1)
-	assert.Equal(t, w.relayer.Avoided(), relayer.Avoided{Resting: 1})
+	assert.Equal(t, w.relayer.AvoidedUpstreams(), relayer.AvoidedUpstreams{Resting: 1})
 }
 
 // Guards against: a request that is found to crash upstreams while it waits is sent all the same, or told to have run.
--- a/internal/gateway/relayer/request.go
+++ b/internal/gateway/relayer/request.go
@@ -124,7 +124,7 @@
 		return nil, classifier.New(classifier.SettingsUnavailable, "the node knows no configuration yet").After(later())
 	}
 
-	if leaving := r.options.Leaving(); leaving > r.options.LastRequests {
+	if leaving := r.options.LeavingFor(); leaving > r.options.LeavingGrace {
 		return nil, classifier.New(classifier.NodeLeaving, "the node is stopping").After(retryAfterSoon)
 	}
 
@@ -207,7 +207,7 @@
 	}
 
 	age, known := r.options.Catalog.Age()
-	if !known || age > r.options.KeyFreshness() {
+	if !known || age > r.options.MaxKeyAge() {
 		return nil, classifier.New(classifier.SettingsUnavailable, "what the node knows of keys is too old").After(later())
 	}
 
--- a/internal/gateway/upstreams.go
+++ b/internal/gateway/upstreams.go
@@ -35,7 +35,7 @@
 
 		if former, known := n.starts[upstream.ID]; known && former != upstream.Born {
 			n.logger.Info().Str("upstream", upstream.ID).Int64("born", upstream.Born).Int64("former", former).Msg("upstream_restarted")
-			n.relayer.Forget(upstream.ID)
+			n.relayer.ForgetUpstream(upstream.ID)
 
 			restarted[upstream.ID] = true
 		}
