--- a/internal/gateway/broker/broker_test.go
+++ b/internal/gateway/broker/broker_test.go
@@ -227,7 +227,7 @@
 
 		for _, name := range others {
 			for i := range 2 {
-				f.nodes[name].First(fmt.Sprint("before", name, i), nil)
+				f.nodes[name].RecordFirstEvent(fmt.Sprint("before", name, i), nil)
 			}
 		}
 
@@ -267,7 +267,7 @@
 		time.Sleep(200 * time.Millisecond)
 		// The first look at the new holders tells them what runs.
 		for _, name := range others[:4] {
-			f.nodes[name].First("running"+name+"0", nil)
+			f.nodes[name].RecordFirstEvent("running"+name+"0", nil)
 		}
 
 		time.Sleep(200 * time.Millisecond)
@@ -310,7 +310,7 @@
 		}()
 
 		time.Sleep(100 * time.Millisecond)
-		f.nodes[others[0]].End("r0", balancer.Served)
+		f.nodes[others[0]].RecordEnd("r0", balancer.Served)
 		took := <-got
 		assert.Assert(t, took < time.Second, "%v", took)
 	})
@@ -331,7 +331,7 @@
 		assert.Assert(t, !ok)
 		time.Sleep(20 * time.Millisecond)
 
-		f.nodes[others[0]].End("r0", balancer.Served)
+		f.nodes[others[0]].RecordEnd("r0", balancer.Served)
 		time.Sleep(100 * time.Millisecond)
 		_, ok = f.nodes[others[2]].Choose(context.Background(), service, work("next"))
 		assert.Assert(t, ok)
@@ -375,7 +375,7 @@
 		time.Sleep(3 * time.Second)
 
 		// It decides now, and knows what runs.
-		f.nodes[others[0]].End("running"+others[0]+"0", balancer.Served)
+		f.nodes[others[0]].RecordEnd("running"+others[0]+"0", balancer.Served)
 		time.Sleep(50 * time.Millisecond)
 
 		taken := 0
--- a/internal/gateway/broker/leaving_test.go
+++ b/internal/gateway/broker/leaving_test.go
@@ -27,10 +27,10 @@
 			assert.Assert(t, ok)
 
 			if choice.Upstream == "u0" {
-				f.nodes[node].Leaving(work.ID)
+				f.nodes[node].MarkLeaving(work.ID)
 			}
 
-			f.nodes[node].End(work.ID, balancer.Served)
+			f.nodes[node].RecordEnd(work.ID, balancer.Served)
 			time.Sleep(20 * time.Millisecond)
 
 			return choice.Upstream
--- a/internal/gateway/broker/reporting.go
+++ b/internal/gateway/broker/reporting.go
@@ -19,8 +19,8 @@
 	}
 }
 
-// First implements relayer.Chooser.
-func (b *Broker) First(id string, load *balancer.Load) {
+// RecordFirstEvent implements relayer.Chooser.
+func (b *Broker) RecordFirstEvent(id string, load *balancer.Load) {
 	b.mu.Lock()
 	r, ok := b.running[id]
 	r.answered = true
@@ -38,8 +38,8 @@
 	b.tell(r.pool, report{Pool: r.pool, ID: id, First: true, Load: load})
 }
 
-// Paused implements relayer.Chooser.
-func (b *Broker) Paused(id string, pauses balancer.Pauses) {
+// RecordGaps implements relayer.Chooser.
+func (b *Broker) RecordGaps(id string, pauses balancer.Pauses) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 
@@ -50,8 +50,8 @@
 	}
 }
 
-// Leaving implements relayer.Chooser.
-func (b *Broker) Leaving(id string) {
+// MarkLeaving implements relayer.Chooser.
+func (b *Broker) MarkLeaving(id string) {
 	b.mu.Lock()
 	r, ok := b.running[id]
 	b.mu.Unlock()
@@ -62,8 +62,8 @@
 	}
 }
 
-// End implements relayer.Chooser.
-func (b *Broker) End(id string, outcome balancer.Outcome) {
+// RecordEnd implements relayer.Chooser.
+func (b *Broker) RecordEnd(id string, outcome balancer.Outcome) {
 	b.mu.Lock()
 	r, ok := b.running[id]
 	delete(b.running, id)
--- a/internal/gateway/relayer/attempt.go
+++ b/internal/gateway/relayer/attempt.go
@@ -50,7 +50,7 @@
 	id := request.workID()
 	outcome := balancer.Abandoned
 
-	defer func() { r.options.Chooser.End(id, outcome) }()
+	defer func() { r.options.Chooser.RecordEnd(id, outcome) }()
 
 	request.sends++
 
@@ -112,7 +112,7 @@
 		// The others learn it from those that decide; this node may not send there by anyone's decision.
 		if r.avoider.leave(request.service, choice.Upstream, r.bornAt(choice.Upstream)) {
 			r.options.Logger.Info().Str("upstream", choice.Upstream).Str("service", request.service).Msg("upstream_leaving")
-			r.options.Chooser.Leaving(request.workID())
+			r.options.Chooser.MarkLeaving(request.workID())
 		}
 	}
 
--- a/internal/gateway/relayer/relayer.go
+++ b/internal/gateway/relayer/relayer.go
@@ -48,13 +48,13 @@
 type Chooser interface {
 	// Choose returns an upstream of the service, or false when none can take the request.
 	Choose(ctx context.Context, service string, work balancer.Work) (balancer.Choice, bool)
-	// First tells that the answer began, and the load that the upstream told of itself; nil if none.
-	First(id string, load *balancer.Load)
-	// Paused tells how the events of a whole stream came. It comes before the end.
-	Paused(id string, pauses balancer.Pauses)
-	End(id string, outcome balancer.Outcome)
-	// Leaving tells that the request's upstream said that it leaves. It comes before the end.
-	Leaving(id string)
+	// RecordFirstEvent tells that the answer began, and the load that the upstream told of itself; nil if none.
+	RecordFirstEvent(id string, load *balancer.Load)
+	// RecordGaps tells how the events of a whole stream came. It comes before the end.
+	RecordGaps(id string, pauses balancer.Pauses)
+	RecordEnd(id string, outcome balancer.Outcome)
+	// MarkLeaving tells that the request's upstream said that it leaves. It comes before the end.
+	MarkLeaving(id string)
 }
 
 // Quarantine keeps requests that crash upstreams from running.
@@ -203,14 +203,14 @@
 
 		if r.quarantined(request) {
 			// It was found out while the request waited.
-			r.options.Chooser.End(request.workID(), balancer.Abandoned)
+			r.options.Chooser.RecordEnd(request.workID(), balancer.Abandoned)
 
 			break
 		}
 
 		if r.avoider.avoids(choice.Upstream, time.Now()) {
 			// The choice was made before the upstream said so, or by a node that doesn't know.
-			r.options.Chooser.End(request.workID(), balancer.Abandoned)
+			r.options.Chooser.RecordEnd(request.workID(), balancer.Abandoned)
 			r.options.FailedAttempts.Add("choice_declined", 1)
 
 			request.declined++
@@ -222,7 +222,7 @@
 		}
 
 		if !r.renewExtra(ctx, request) {
-			r.options.Chooser.End(request.workID(), balancer.Abandoned)
+			r.options.Chooser.RecordEnd(request.workID(), balancer.Abandoned)
 
 			break
 		}
--- a/internal/gateway/relayer/relayer_test.go
+++ b/internal/gateway/relayer/relayer_test.go
@@ -189,17 +189,17 @@
 	return balancer.Choice{}, false
 }
 
-// First implements relayer.Chooser.
-func (w *world) First(string, *balancer.Load) {}
+// RecordFirstEvent implements relayer.Chooser.
+func (w *world) RecordFirstEvent(string, *balancer.Load) {}
 
-// Paused implements relayer.Chooser.
-func (w *world) Paused(string, balancer.Pauses) {}
+// RecordGaps implements relayer.Chooser.
+func (w *world) RecordGaps(string, balancer.Pauses) {}
 
-// Leaving implements relayer.Chooser.
-func (w *world) Leaving(string) {}
+// MarkLeaving implements relayer.Chooser.
+func (w *world) MarkLeaving(string) {}
 
-// End implements relayer.Chooser.
-func (w *world) End(_ string, outcome balancer.Outcome) {
+// RecordEnd implements relayer.Chooser.
+func (w *world) RecordEnd(_ string, outcome balancer.Outcome) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 
--- a/internal/gateway/relayer/stream.go
+++ b/internal/gateway/relayer/stream.go
@@ -38,7 +38,7 @@
 		event, err := readEvent(events)
 		if err != nil {
 			if errors.Is(err, io.EOF) {
-				r.options.Chooser.Paused(request.workID(), pace.pauses())
+				r.options.Chooser.RecordGaps(request.workID(), pace.pauses())
 			}
 
 			return r.endEvents(ctx, a, choice, err, !first, outcome)
@@ -49,7 +49,7 @@
 
 		if first {
 			first = false
-			r.options.Chooser.First(request.workID(), r.load(response))
+			r.options.Chooser.RecordFirstEvent(request.workID(), r.load(response))
 			r.vitals.answered(choice.Upstream, sent, now, request.work.Priority)
 		}
 
