--- a/internal/gateway/relayer/attempt.go
+++ b/internal/gateway/relayer/attempt.go
@@ -50,7 +50,7 @@
 	id := request.workID()
 	outcome := balancer.Abandoned
 
-	defer func() { r.options.Chooser.End(id, outcome) }()
+	defer func() { r.options.Chooser.RecordEnd(id, outcome) }()
 
 	request.sends++
 
@@ -73,7 +73,7 @@
 		})
 	}
 
-	target := dialer.Target{ID: choice.Upstream, Address: choice.Address}
+	target := dialer.Upstream{ID: choice.Upstream, Address: choice.Address}
 	response, err := r.options.Dialer.Exchange(ctx, target, r.outgoing(request, choice))
 	request.settleExtra(err)
 
@@ -112,7 +112,7 @@
 		// The others learn it from those that decide; this node may not send there by anyone's decision.
 		if r.avoider.leave(request.service, choice.Upstream, r.bornAt(choice.Upstream)) {
 			r.options.Logger.Info().Str("upstream", choice.Upstream).Str("service", request.service).Msg("upstream_leaving")
-			r.options.Chooser.Leaving(request.workID())
+			r.options.Chooser.MarkLeaving(request.workID())
 		}
 	}
 
@@ -138,7 +138,7 @@
 func (r *Relayer) failed(ctx context.Context, request *request, choice balancer.Choice, sent time.Time, err error, outcome *balancer.Outcome) verdict {
 	if errors.Is(err, dialer.ErrNotSent) {
 		// That this node has no connection left says nothing of the upstream.
-		if ctx.Err() == nil && !errors.Is(err, dialer.ErrFull) {
+		if ctx.Err() == nil && !errors.Is(err, dialer.ErrTooManyConnections) {
 			*outcome = balancer.Unreachable
 		}
 
@@ -238,7 +238,7 @@
 }
 
 func (r *Relayer) logAttempt(request *request, choice balancer.Choice, result string, err error) {
-	r.options.Attempts.Add(result, 1)
+	r.options.FailedAttempts.Add(result, 1)
 	r.options.Logger.Info().
 		Str("request_id", request.id).
 		Stringer("request_key", request.key).
--- a/internal/gateway/relayer/relayer.go
+++ b/internal/gateway/relayer/relayer.go
@@ -48,13 +48,13 @@
 type Chooser interface {
 	// Choose returns an upstream of the service, or false when none can take the request.
 	Choose(ctx context.Context, service string, work balancer.Request) (balancer.Choice, bool)
-	// First tells that the answer began, and the load that the upstream told of itself; nil if none.
-	First(id string, load *balancer.Load)
-	// Paused tells how the events of a whole stream came. It comes before the end.
-	Paused(id string, pauses balancer.EventGaps)
-	End(id string, outcome balancer.Outcome)
-	// Leaving tells that the request's upstream said that it leaves. It comes before the end.
-	Leaving(id string)
+	// RecordFirstEvent tells that the answer began, and the load that the upstream told of itself; nil if none.
+	RecordFirstEvent(id string, load *balancer.Load)
+	// RecordGaps tells how the events of a whole stream came. It comes before the end.
+	RecordGaps(id string, pauses balancer.EventGaps)
+	RecordEnd(id string, outcome balancer.Outcome)
+	// MarkLeaving tells that the request's upstream said that it leaves. It comes before the end.
+	MarkLeaving(id string)
 }
 
 // Quarantine keeps requests that crash upstreams from running.
@@ -78,25 +78,25 @@
 	Headers Headers
 	Catalog *cataloguer.Catalog
 	// Table returns the routes in force, nil before the first configuration.
-	Table   func() *router.Table
-	Chooser Chooser
-	Dialer  *dialer.Dialer
-	Budget  *budgeter.Budgeter
+	Table       func() *router.Table
+	Chooser     Chooser
+	Dialer      *dialer.Dialer
+	RetryBudget *budgeter.Budgeter
 	// Quarantine judges the requests by their content.
 	Quarantine Quarantine
 	Usage      Usage
-	// KeyFreshness is the greatest age of what is known of keys at which they are still honoured.
-	KeyFreshness func() time.Duration
-	// Leaving says since when the node is in a planned stop; zero means that it isn't.
-	Leaving func() time.Duration
-	// LastRequests is how long after the begin of a planned stop requests are still taken.
-	LastRequests time.Duration
-	// BodyMemory bounds the bytes of request bodies that are held at once.
-	BodyMemory int64
+	// MaxKeyAge is the greatest age of what is known of keys at which they are still honoured.
+	MaxKeyAge func() time.Duration
+	// LeavingFor says since when the node is in a planned stop; zero means that it isn't.
+	LeavingFor func() time.Duration
+	// LeavingGrace is how long after the begin of a planned stop requests are still taken.
+	LeavingGrace time.Duration
+	// MaxBodyMemory bounds the bytes of request bodies that are held at once.
+	MaxBodyMemory int64
 	// Meter counts requests by route; Attempts counts failed attempts by their result.
-	Meter    *meter.Meter
-	Attempts *expvar.Map
-	Logger   zerolog.Logger
+	Meter          *meter.Meter
+	FailedAttempts *expvar.Map
+	Logger         zerolog.Logger
 }
 
 // Relayer handles the requests of callers. It is safe for concurrent use.
@@ -124,9 +124,9 @@
 	return r.inFlight.Load()
 }
 
-// Forget drops what is known of an upstream that started again: signs of life from before say nothing of the requests
+// ForgetUpstream drops what is known of an upstream that started again: signs of life from before say nothing of the requests
 // that it has lost.
-func (r *Relayer) Forget(upstream string) {
+func (r *Relayer) ForgetUpstream(upstream string) {
 	r.vitals.forget(upstream)
 }
 
@@ -135,8 +135,8 @@
 	r.avoider.update(listed, time.Now())
 }
 
-// Avoided counts the upstreams that have asked this node for no more requests.
-func (r *Relayer) Avoided() Avoided {
+// AvoidedUpstreams counts the upstreams that have asked this node for no more requests.
+func (r *Relayer) AvoidedUpstreams() AvoidedUpstreams {
 	return r.avoider.counts(time.Now())
 }
 
@@ -147,12 +147,12 @@
 
 	arrived := time.Now()
 
-	if r.options.Leaving() > 0 {
+	if r.options.LeavingFor() > 0 {
 		// The caller shall use another node from now on.
 		w.Header().Set("Connection", "close")
 	}
 
-	held := &reservation{total: &r.bodies, most: r.options.BodyMemory}
+	held := &reservation{total: &r.bodies, most: r.options.MaxBodyMemory}
 	defer held.release()
 
 	request, failure := r.accept(w, incoming, arrived, held)
@@ -162,7 +162,7 @@
 		return
 	}
 
-	r.options.Budget.CountRequest(request.service)
+	r.options.RetryBudget.CountRequest(request.service)
 
 	if r.quarantined(request) {
 		r.refuse(w, request.id, request, quarantiner.Refusal(request.quarantined))
@@ -203,15 +203,15 @@
 
 		if r.quarantined(request) {
 			// It was found out while the request waited.
-			r.options.Chooser.End(request.workID(), balancer.Abandoned)
+			r.options.Chooser.RecordEnd(request.workID(), balancer.Abandoned)
 
 			break
 		}
 
 		if r.avoider.avoids(choice.Upstream, time.Now()) {
 			// The choice was made before the upstream said so, or by a node that doesn't know.
-			r.options.Chooser.End(request.workID(), balancer.Abandoned)
-			r.options.Attempts.Add("choice_declined", 1)
+			r.options.Chooser.RecordEnd(request.workID(), balancer.Abandoned)
+			r.options.FailedAttempts.Add("choice_declined", 1)
 
 			request.declined++
 			if request.declined == mostDeclined {
@@ -222,7 +222,7 @@
 		}
 
 		if !r.renewExtra(ctx, request) {
-			r.options.Chooser.End(request.workID(), balancer.Abandoned)
+			r.options.Chooser.RecordEnd(request.workID(), balancer.Abandoned)
 
 			break
 		}
@@ -304,7 +304,7 @@
 		return true
 	}
 
-	charge, ok := r.options.Budget.Acquire(ctx, request.service)
+	charge, ok := r.options.RetryBudget.Acquire(ctx, request.service)
 	if !ok {
 		r.options.Meter.Refused(request.route.Name, classifier.RetryBudgetSpent)
 		r.options.Logger.Warn().Str("request_id", request.id).Str("service", request.service).Msg("retry_budget_spent")
