--- a/internal/bencher/queue.go
+++ b/internal/bencher/queue.go
@@ -65,7 +65,7 @@
 			poolOptions.GrantPrefix = name
 
 			if options.Prefixes {
-				poolOptions.Hints = world.Hints
+				poolOptions.CacheHints = world.Hints
 			}
 
 			q.pools[name] = &heldPool{
--- a/internal/granter/attainment_test.go
+++ b/internal/granter/attainment_test.go
@@ -121,8 +121,8 @@
 		name string
 		pool scheduler.Options
 	}{
-		{"engine's priority", scheduler.Options{FixedSlots: true, EnginePriority: true, NoEstimates: true}},
-		{"preemption", scheduler.Options{FixedSlots: true, NoEstimates: true}},
+		{"engine's priority", scheduler.Options{FixedSlots: true, EnginePriority: true, NoPredictiveRefusals: true}},
+		{"preemption", scheduler.Options{FixedSlots: true, NoPredictiveRefusals: true}},
 	}
 
 	for name, fault := range faults {
--- a/internal/granter/explaining.go
+++ b/internal/granter/explaining.go
@@ -41,7 +41,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
-	room := p.pool.Room()
+	room := p.pool.Capacity()
 	if room.Waiting == 0 || room.Free <= 0 {
 		return
 	}
@@ -54,7 +54,7 @@
 	line.Str("pool", p.name).
 		Int("waiting", room.Waiting).
 		Int("free", room.Free).
-		Int("free_for_lower_tiers", room.ForLower).
+		Int("free_for_lower_tiers", room.FreeForLower).
 		Msg("slots_withheld")
 }
 
--- a/internal/granter/holder.go
+++ b/internal/granter/holder.go
@@ -233,7 +233,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
-	return p.pool.Queues()
+	return p.pool.HasWaiting()
 }
 
 // open returns the pool, made when it is new, with the settings in force; nil when the service is unknown.
--- a/internal/granter/network_test.go
+++ b/internal/granter/network_test.go
@@ -343,5 +343,5 @@
 }
 
 func fixed() Options {
-	return Options{Pool: scheduler.Options{FixedSlots: true, Headroom: -1, NoEstimates: true, NoPreemption: true}}
+	return Options{Pool: scheduler.Options{FixedSlots: true, Headroom: -1, NoPredictiveRefusals: true, NoPreemption: true}}
 }
--- a/internal/granter/prefixes_test.go
+++ b/internal/granter/prefixes_test.go
@@ -16,8 +16,8 @@
 	prefix   uint64
 }
 
-// Saved implements scheduler.Hints.
-func (h hintsFor) Saved(service, upstream string, prefixes []uint64) int {
+// CachedTokens implements scheduler.CacheHints.
+func (h hintsFor) CachedTokens(service, upstream string, prefixes []uint64) int {
 	if service == "assistente" && upstream == h.upstream && slices.Contains(prefixes, h.prefix) {
 		return 64
 	}
@@ -30,7 +30,7 @@
 // Cause: the ask goes to the holder without the prompt's prefixes.
 func TestPrefixesReachTheHolder(t *testing.T) {
 	options := fixed()
-	options.Pool.Hints = hintsFor{upstream: "e03", prefix: 7}
+	options.Pool.CacheHints = hintsFor{upstream: "e03", prefix: 7}
 
 	inVirtualTime(t, 3, 4, 2, options, func(t *testing.T, ctx context.Context, n *network) {
 		ask := dispatcher.Ask{Service: "assistente", Class: "chat", Organisation: "a", Repeatable: true, Prefixes: []uint64{7}}
--- a/internal/granter/reconciler.go
+++ b/internal/granter/reconciler.go
@@ -162,12 +162,12 @@
 		if result.Same {
 			p.pacer.agreed(round, entry)
 
-			return pool.Confirm(now, entry, known)
+			return pool.ReconcileIDs(now, entry, known)
 		}
 
 		p.pacer.hurry(entry)
 
-		return pool.Adopt(now, entry, result.inFlight(now, entry))
+		return pool.Reconcile(now, entry, result.inFlight(now, entry))
 	})
 }
 
@@ -230,7 +230,7 @@
 			Int("grants", len(pool.GrantIDs(entry))).
 			Msg("entry_forgotten")
 
-		return pool.Forget(now, entry)
+		return pool.RemoveEntry(now, entry)
 	})
 }
 
@@ -245,7 +245,7 @@
 			Upstream:     f.Upstream,
 			Class:        f.Class,
 			Organisation: f.Organisation,
-			Since:        now.Add(-f.Age),
+			StartedAt:    now.Add(-f.Age),
 
 			NotRepeatable: f.NotRepeatable,
 		}
--- a/internal/granter/wire.go
+++ b/internal/granter/wire.go
@@ -124,7 +124,7 @@
 	RetryAfter time.Duration   `json:"retry_after_ns,omitempty"`
 }
 
-var states = map[scheduler.Kind]state{
+var states = map[scheduler.DecisionKind]state{
 	scheduler.Grant:   stateGranted,
 	scheduler.Refuse:  stateRefused,
 	scheduler.Preempt: statePreempt,
--- a/internal/prefixer/prefixer_test.go
+++ b/internal/prefixer/prefixer_test.go
@@ -29,10 +29,10 @@
 	table := NewTable()
 	// The event of block 2 is lost.
 	table.Take("s", "e1", 4, []Event{stored(1, 11), stored(3, 13), stored(4, 14)})
-	assert.Equal(t, table.Saved("s", "e1", []uint64{11, 12, 14}), 4*BlockTokens)
-	assert.Equal(t, table.Saved("s", "e1", []uint64{11, 12, 15}), BlockTokens)
-	assert.Equal(t, table.Saved("s", "e2", []uint64{11}), 0)
-	assert.Equal(t, table.Saved("other", "e1", []uint64{11}), 0)
+	assert.Equal(t, table.CachedTokens("s", "e1", []uint64{11, 12, 14}), 4*BlockTokens)
+	assert.Equal(t, table.CachedTokens("s", "e1", []uint64{11, 12, 15}), BlockTokens)
+	assert.Equal(t, table.CachedTokens("s", "e2", []uint64{11}), 0)
+	assert.Equal(t, table.CachedTokens("other", "e1", []uint64{11}), 0)
 }
 
 // Symptom: hints about an engine's empty cache draw requests to it.
@@ -42,10 +42,10 @@
 	table := NewTable()
 	table.Take("s", "e1", 2, []Event{stored(1, 11), stored(2, 12)})
 	table.Take("s", "e1", 1, nil)
-	assert.Equal(t, table.Saved("s", "e1", []uint64{11, 12}), 0)
+	assert.Equal(t, table.CachedTokens("s", "e1", []uint64{11, 12}), 0)
 	assert.Equal(t, table.Newest("s", "e1"), 0)
 	table.Take("s", "e1", 1, []Event{stored(1, 13)})
-	assert.Equal(t, table.Saved("s", "e1", []uint64{13}), BlockTokens)
+	assert.Equal(t, table.CachedTokens("s", "e1", []uint64{13}), BlockTokens)
 }
 
 // Symptom: a hint lives for ever although the engine dropped the block long ago.
@@ -55,10 +55,10 @@
 	table := NewTable()
 	table.Take("s", "e1", 1, []Event{stored(1, 11)})
 	table.Take("s", "e1", maxDoubt+2, []Event{stored(maxDoubt+2, 12)})
-	assert.Equal(t, table.Saved("s", "e1", []uint64{11}), BlockTokens)
+	assert.Equal(t, table.CachedTokens("s", "e1", []uint64{11}), BlockTokens)
 	table.Take("s", "e1", maxDoubt+4, []Event{stored(maxDoubt+4, 13)})
-	assert.Equal(t, table.Saved("s", "e1", []uint64{11}), 0)
-	assert.Equal(t, table.Saved("s", "e1", []uint64{12}), BlockTokens)
+	assert.Equal(t, table.CachedTokens("s", "e1", []uint64{11}), 0)
+	assert.Equal(t, table.CachedTokens("s", "e1", []uint64{12}), BlockTokens)
 }
 
 func TestKeepDropsUpstreamsThatLeft(t *testing.T) {
@@ -66,8 +66,8 @@
 	table.Take("s", "e1", 1, []Event{stored(1, 11)})
 	table.Take("s", "e2", 1, []Event{stored(1, 11)})
 	table.Keep("s", func(name string) bool { return name == "e2" })
-	assert.Equal(t, table.Saved("s", "e1", []uint64{11}), 0)
-	assert.Equal(t, table.Saved("s", "e2", []uint64{11}), BlockTokens)
+	assert.Equal(t, table.CachedTokens("s", "e1", []uint64{11}), 0)
+	assert.Equal(t, table.CachedTokens("s", "e2", []uint64{11}), BlockTokens)
 	table.Keep("s", func(string) bool { return false })
 	assert.Equal(t, len(table.services), 0)
 }
@@ -103,7 +103,7 @@
 		}
 
 		for block := uint64(1); block <= 20; block++ {
-			assert.Equal(t, table.Saved("s", "e1", []uint64{block}), once.Saved("s", "e1", []uint64{block}))
+			assert.Equal(t, table.CachedTokens("s", "e1", []uint64{block}), once.CachedTokens("s", "e1", []uint64{block}))
 		}
 	})
 }
@@ -127,6 +127,6 @@
 	b.ReportAllocs()
 
 	for b.Loop() {
-		table.Saved("s", "e1", prefixes)
+		table.CachedTokens("s", "e1", prefixes)
 	}
 }
--- a/internal/prefixer/table.go
+++ b/internal/prefixer/table.go
@@ -144,10 +144,10 @@
 	}
 }
 
-// Saved returns the number of prompt tokens that an upstream probably needn't
+// CachedTokens returns the number of prompt tokens that an upstream probably needn't
 // read again, for a prompt whose sampled prefixes are given; zero when nothing
 // is known. A deep prefix stands for all of its blocks, also those whose own events are lost.
-func (t *Table) Saved(service, upstream string, prefixes []uint64) int {
+func (t *Table) CachedTokens(service, upstream string, prefixes []uint64) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 
--- a/internal/scheduler/adopting.go
+++ b/internal/scheduler/adopting.go
@@ -35,15 +35,15 @@
 }
 
 // Rebuild starts the takeover of a pool whose grants are unknown, until each of
-// the entries has answered through Adopt or Options.RebuildFor has passed.
+// the entries has answered through Reconcile or Options.RebuildTimeout has passed.
 //
 // Meanwhile tier 1 is granted at once and the engine's priority has to do;
 // lower tiers use RebuildShare of each server. So capacity counted twice or
-// not at all hurts for RebuildFor at most.
+// not at all hurts for RebuildTimeout at most.
 func (p *Pool) Rebuild(now time.Time, entries []string) []Decision {
 	p.begin(now)
 
-	p.rebuild = rebuild{active: true, until: now.Add(p.options.RebuildFor), missing: make(map[string]bool)}
+	p.rebuild = rebuild{active: true, until: now.Add(p.options.RebuildTimeout), missing: make(map[string]bool)}
 	for _, entry := range entries {
 		p.rebuild.missing[entry] = true
 	}
@@ -64,9 +64,9 @@
 	return slices.Sorted(maps.Keys(p.rebuild.missing))
 }
 
-// Adopt compares what an entry has in flight with the grants of the pool. Unknown
+// Reconcile compares what an entry has in flight with the grants of the pool. Unknown
 // ones are taken over; grants that the entry doesn't know twice running are freed.
-func (p *Pool) Adopt(now time.Time, entry string, flights []InFlight) []Decision {
+func (p *Pool) Reconcile(now time.Time, entry string, flights []InFlight) []Decision {
 	p.begin(now)
 
 	named := make(map[string]bool, len(flights))
@@ -79,9 +79,9 @@
 	return p.reconcileAll(now, entry, named)
 }
 
-// Confirm is Adopt for an entry that has in flight exactly the grants with the
+// ReconcileIDs is Reconcile for an entry that has in flight exactly the grants with the
 // given ids, all of which the pool knew.
-func (p *Pool) Confirm(now time.Time, entry string, ids []string) []Decision {
+func (p *Pool) ReconcileIDs(now time.Time, entry string, ids []string) []Decision {
 	p.begin(now)
 
 	named := make(map[string]bool, len(ids))
@@ -139,7 +139,7 @@
 		class:   c,
 		server:  s,
 		order:   p.order,
-		granted: flight.Since,
+		granted: flight.StartedAt,
 		cost:    c.cost,
 		lower:   c.settings.Tier > topTier,
 		exposed: p.exposed(&request, c),
@@ -181,8 +181,8 @@
 	return found
 }
 
-// Forget frees the grants and drops the waiting requests of an entry that is gone.
-func (p *Pool) Forget(now time.Time, entry string) []Decision {
+// RemoveEntry frees the grants and drops the waiting requests of an entry that is gone.
+func (p *Pool) RemoveEntry(now time.Time, entry string) []Decision {
 	p.begin(now)
 
 	for _, g := range p.grantsOf(entry) {
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -30,7 +30,7 @@
 		service = withClass(service, class, func(c *configurer.Class) { c.MaxWait, c.GuaranteedShare, c.MoveUpAfter = 0, 0.1, 10*time.Minute })
 	}
 
-	b := &backlog{now: epoch, pool: New(service, Options{MaxQueue: 1 << 20, GiveUpFactor: -1, FixedSlots: true})}
+	b := &backlog{now: epoch, pool: New(service, Options{MaxQueue: 1 << 20, TargetFactor: -1, FixedSlots: true})}
 
 	for i := range organisations {
 		name := fmt.Sprintf("o%04d", i)
--- a/internal/scheduler/estimating.go
+++ b/internal/scheduler/estimating.go
@@ -101,9 +101,9 @@
 }
 
 // hopeless says whether the request would wait beyond MaxWait, or start so late
-// that its target is missed by GiveUpFactor, when its wait is estimated times the margin.
+// that its target is missed by TargetFactor, when its wait is estimated times the margin.
 func (p *Pool) hopeless(now time.Time, w *waiter, ahead int, margin float64) bool {
-	if p.options.NoEstimates || w.request.Progress > 0 || !w.class.warm() || p.rebuild.active {
+	if p.options.NoPredictiveRefusals || w.request.Progress > 0 || !w.class.warm() || p.rebuild.active {
 		return false
 	}
 
--- a/internal/scheduler/headroom.go
+++ b/internal/scheduler/headroom.go
@@ -68,7 +68,7 @@
 // headroom is the number of free slots that lower tiers leave to tier 1: the
 // largest recent burst of tier 1, less the slots that become free while it comes.
 func (p *Pool) headroom(now time.Time) int {
-	if p.options.Headroom < 0 || now.Sub(p.burst.last) >= p.options.HeadroomAbsence || !p.servesTop() {
+	if p.options.Headroom < 0 || now.Sub(p.burst.last) >= p.options.HeadroomIdleTimeout || !p.servesTop() {
 		return 0
 	}
 
--- a/internal/scheduler/hints.go
+++ b/internal/scheduler/hints.go
@@ -1,9 +1,9 @@
 package scheduler
 
-// Hints tells what servers probably have in their prompt caches. A wrong hint costs a prefill and nothing more.
-type Hints interface {
-	// Saved is the number of prompt tokens that a server needn't read again; zero when nothing is known.
-	Saved(service, upstream string, prefixes []uint64) int
+// CacheHints tells what servers probably have in their prompt caches. A wrong hint costs a prefill and nothing more.
+type CacheHints interface {
+	// CachedTokens is the number of prompt tokens that a server needn't read again; zero when nothing is known.
+	CachedTokens(service, upstream string, prefixes []uint64) int
 }
 
 // tieShare is the part by which the speeds of two servers may differ while they
@@ -20,7 +20,7 @@
 		best = v.spread(w, best)
 	}
 
-	hints := v.pool.options.Hints
+	hints := v.pool.options.CacheHints
 
 	if best == nil || hints == nil || len(w.request.Prefixes) == 0 {
 		return best
@@ -28,14 +28,14 @@
 
 	found := best
 	service := v.pool.service.Name
-	saved := hints.Saved(service, best.upstream.Name, w.request.Prefixes)
+	saved := hints.CachedTokens(service, best.upstream.Name, w.request.Prefixes)
 
 	for _, s := range v.pool.servers {
 		if s == best || !v.tied(w, s, best, extra) {
 			continue
 		}
 
-		if more := hints.Saved(service, s.upstream.Name, w.request.Prefixes); more > saved {
+		if more := hints.CachedTokens(service, s.upstream.Name, w.request.Prefixes); more > saved {
 			found, saved = s, more
 		}
 	}
@@ -62,7 +62,7 @@
 
 // caches says whether the server probably has a part of the prompt in its cache.
 func (v *view) caches(w *waiter, s *server) bool {
-	hints := v.pool.options.Hints
+	hints := v.pool.options.CacheHints
 
-	return hints != nil && len(w.request.Prefixes) > 0 && hints.Saved(v.pool.service.Name, s.upstream.Name, w.request.Prefixes) > 0
+	return hints != nil && len(w.request.Prefixes) > 0 && hints.CachedTokens(v.pool.service.Name, s.upstream.Name, w.request.Prefixes) > 0
 }
--- a/internal/scheduler/hints_test.go
+++ b/internal/scheduler/hints_test.go
@@ -15,14 +15,14 @@
 // fixedHints says what each upstream saves, whatever is asked.
 type fixedHints map[string]int
 
-// Saved implements Hints.
-func (f fixedHints) Saved(_, upstream string, _ []uint64) int { return f[upstream] }
+// CachedTokens implements CacheHints.
+func (f fixedHints) CachedTokens(_, upstream string, _ []uint64) int { return f[upstream] }
 
 // Symptom: a prompt is read anew although a server with as much room has it in its cache.
 // Events: a request with prefixes is granted while several servers are idle.
 // Cause: the choice between equal servers goes by the order of their names.
 func TestHintsChooseBetweenEqualServers(t *testing.T) {
-	p := New(testService(4, 2), Options{Hints: fixedHints{"e02": 64, "e03": 256}})
+	p := New(testService(4, 2), Options{CacheHints: fixedHints{"e02": 64, "e03": 256}})
 	request := ask("r1", "counter")
 	request.Prefixes = []uint64{1}
 	assert.Equal(t, p.Submit(epoch, request)[0].Upstream, "e03")
@@ -52,7 +52,7 @@
 		}
 
 		hints["unknown"] = 1 << 30
-		p := New(service, Options{Hints: hints})
+		p := New(service, Options{CacheHints: hints})
 		now := epoch
 
 		for range rapid.IntRange(1, 30).Draw(t, "events") {
@@ -98,7 +98,7 @@
 // Events: prompts that are in the cache have fast first tokens, then one comes that isn't.
 // Cause: the fastest first tokens tell what an engine without company does, and were those of cached prompts.
 func TestCachedPromptsDontSetTheFastestFirstToken(t *testing.T) {
-	p := New(testService(1, 8), Options{Hints: fixedHints{"e01": 64}})
+	p := New(testService(1, 8), Options{CacheHints: fixedHints{"e01": 64}})
 	finish := func(request Request, first time.Duration) {
 		granted := p.Submit(epoch, request)[0].GrantID
 		p.Finish(epoch, granted, Report{Result: dispatcher.ResultDone, FirstToken: first, TokenGap: time.Millisecond, Tokens: 20, Duration: time.Second})
--- a/internal/scheduler/learning_test.go
+++ b/internal/scheduler/learning_test.go
@@ -52,7 +52,7 @@
 func TestLimitSettlesWhereTheTokenGapMeetsItsTarget(t *testing.T) {
 	service := withClass(testService(1, 4), "chat", func(c *configurer.Class) { c.MaxWait = time.Hour })
 	service = withClass(service, "chat", func(c *configurer.Class) { c.TokenGap = 40 * time.Millisecond })
-	p := New(service, Options{Headroom: -1, NoEstimates: true})
+	p := New(service, Options{Headroom: -1, NoPredictiveRefusals: true})
 	saturate(p, "chat", 3000, nil)
 
 	// 0.97 of 40 ms is reached at 20 ms x (1 + 0.04 x 23.5): 24 running.
@@ -62,7 +62,7 @@
 
 func TestStragglerShrinksAndLosesTierOne(t *testing.T) {
 	service := withClass(testService(3, 4), "chat", func(c *configurer.Class) { c.MaxWait = time.Hour })
-	p := New(service, Options{Headroom: -1, NoEstimates: true})
+	p := New(service, Options{Headroom: -1, NoPredictiveRefusals: true})
 	now := saturate(p, "chat", 2000, map[string]float64{"e02": 5})
 
 	limits := p.Stats().Limit
@@ -151,10 +151,10 @@
 
 	var flights []InFlight
 	for _, id := range []string{"g1", "g2", "g3"} {
-		flights = append(flights, InFlight{GrantID: id, RequestID: id, Upstream: "e01", Class: "chat", Since: epoch})
+		flights = append(flights, InFlight{GrantID: id, RequestID: id, Upstream: "e01", Class: "chat", StartedAt: epoch})
 	}
 
-	p.Adopt(epoch, "n1", flights)
+	p.Reconcile(epoch, "n1", flights)
 	assert.Equal(t, len(p.Submit(epoch, ask("c", "counter"))), 0)
 
 	now := epoch.Add(100 * time.Millisecond)
@@ -209,9 +209,9 @@
 	assert.Equal(t, len(fill(p, epoch, "chat", 4)), 2, "lower tiers use RebuildShare")
 	assert.Equal(t, len(fill(p, epoch, "counter", 6)), 6, "tier 1 does not wait for the rebuild")
 
-	flight := InFlight{GrantID: "g1", RequestID: "x", Upstream: "e01", Class: "chat", Organisation: "a", Since: epoch}
-	p.Adopt(epoch, "n2", []InFlight{flight})
-	p.Adopt(epoch, "n2", []InFlight{flight})
+	flight := InFlight{GrantID: "g1", RequestID: "x", Upstream: "e01", Class: "chat", Organisation: "a", StartedAt: epoch}
+	p.Reconcile(epoch, "n2", []InFlight{flight})
+	p.Reconcile(epoch, "n2", []InFlight{flight})
 	assert.Equal(t, p.Stats().InFlight["e01"], 9)
 
 	p.Tick(epoch.Add(time.Second))
@@ -225,8 +225,8 @@
 	p := New(testService(1, 1), Options{Headroom: -1})
 	fill(p, epoch, "chat", 1)
 	p.Submit(epoch, ask("next", "chat"))
-	assert.Equal(t, len(p.Adopt(epoch.Add(time.Second), "n1", nil)), 0)
-	assert.DeepEqual(t, kinds(p.Adopt(epoch.Add(2*time.Second), "n1", nil)), []string{"grant next"})
+	assert.Equal(t, len(p.Reconcile(epoch.Add(time.Second), "n1", nil)), 0)
+	assert.DeepEqual(t, kinds(p.Reconcile(epoch.Add(2*time.Second), "n1", nil)), []string{"grant next"})
 }
 
 // Symptom: a slot stayed taken after its answer ended. Sequence: the release
@@ -235,7 +235,7 @@
 	p := New(testService(1, 1), Options{Headroom: -1})
 	held := fill(p, epoch, "chat", 1)[0]
 	p.Finish(epoch.Add(time.Second), held, done(time.Second))
-	p.Adopt(epoch.Add(time.Second), "n1", []InFlight{{GrantID: held, RequestID: "r", Upstream: "e01", Class: "chat", Since: epoch}})
+	p.Reconcile(epoch.Add(time.Second), "n1", []InFlight{{GrantID: held, RequestID: "r", Upstream: "e01", Class: "chat", StartedAt: epoch}})
 	assert.Equal(t, p.Stats().InFlight["e01"], 0)
 }
 
@@ -246,7 +246,7 @@
 	other := ask("other", "chat")
 	other.Entry = "n2"
 	p.Submit(epoch, other)
-	assert.DeepEqual(t, kinds(p.Forget(epoch, "n1")), []string{"grant other"})
+	assert.DeepEqual(t, kinds(p.RemoveEntry(epoch, "n1")), []string{"grant other"})
 	assert.Equal(t, p.Stats().Queued["chat"], 0)
 }
 
@@ -276,8 +276,8 @@
 // the late cancel of the ask arrives. Cause: it freed the adopted grant.
 func TestCancelSparesWhatAnotherHolderGranted(t *testing.T) {
 	p := New(testService(1, 1), Options{Headroom: -1})
-	flight := InFlight{GrantID: "other/1", RequestID: "r", Upstream: "e01", Class: "chat", Organisation: "a", Since: epoch}
-	p.Adopt(epoch, "n1", []InFlight{flight})
+	flight := InFlight{GrantID: "other/1", RequestID: "r", Upstream: "e01", Class: "chat", Organisation: "a", StartedAt: epoch}
+	p.Reconcile(epoch, "n1", []InFlight{flight})
 	p.Submit(epoch, ask("r", "chat"))
 	p.Cancel(epoch, "r")
 	assert.Equal(t, p.Stats().InFlight["e01"], 1)
--- a/internal/scheduler/limit_test.go
+++ b/internal/scheduler/limit_test.go
@@ -148,7 +148,7 @@
 	service := withClass(testService(1, slots), "notes", func(c *configurer.Class) { c.GuaranteedShare = 0.2 })
 	service = withClass(service, "chat", func(c *configurer.Class) { c.MaxWait = time.Hour })
 
-	return &batch{pool: New(service, Options{NoEstimates: true, EnginePriority: true}), now: epoch, most: most, gap: 20 * time.Millisecond}
+	return &batch{pool: New(service, Options{NoPredictiveRefusals: true, EnginePriority: true}), now: epoch, most: most, gap: 20 * time.Millisecond}
 }
 
 // Symptom: notes finished a third of their share while the limit grew to three
--- a/internal/scheduler/pool.go
+++ b/internal/scheduler/pool.go
@@ -330,7 +330,7 @@
 	return xxhash.Sum64String(text)
 }
 
-func (g *grant) decision(kind Kind) Decision {
+func (g *grant) decision(kind DecisionKind) Decision {
 	return Decision{
 		Kind:      kind,
 		RequestID: g.request.ID,
--- a/internal/scheduler/pool_test.go
+++ b/internal/scheduler/pool_test.go
@@ -54,7 +54,7 @@
 
 // kinds shortens decisions to "grant id", "refuse id" and "preempt id".
 func kinds(decisions []Decision) []string {
-	names := map[Kind]string{Grant: "grant", Refuse: "refuse", Preempt: "preempt"}
+	names := map[DecisionKind]string{Grant: "grant", Refuse: "refuse", Preempt: "preempt"}
 	found := []string{}
 
 	for _, d := range decisions {
@@ -95,7 +95,7 @@
 }
 
 func TestOrganisationsShareByWeight(t *testing.T) {
-	p := New(testService(1, 1), Options{Headroom: -1, NoEstimates: true, FixedSlots: true})
+	p := New(testService(1, 1), Options{Headroom: -1, NoPredictiveRefusals: true, FixedSlots: true})
 	held := fill(p, epoch, "chat", 1)[0]
 
 	for i := range 400 {
@@ -120,7 +120,7 @@
 func TestGuaranteedShareIsServedUnderOverload(t *testing.T) {
 	service := withClass(testService(1, 1), "notes", func(c *configurer.Class) { c.GuaranteedShare = 0.2 })
 	service = withClass(service, "chat", func(c *configurer.Class) { c.MaxWait = time.Hour })
-	p := New(service, Options{Headroom: -1, NoEstimates: true, FixedSlots: true})
+	p := New(service, Options{Headroom: -1, NoPredictiveRefusals: true, FixedSlots: true})
 	held := fill(p, epoch, "chat", 1)[0]
 	granted := map[string]int{}
 
@@ -156,7 +156,7 @@
 }
 
 func TestHeadroomIsLeftToTierOne(t *testing.T) {
-	p := New(testService(2, 2), Options{Headroom: 1, HeadroomAbsence: 10 * time.Second})
+	p := New(testService(2, 2), Options{Headroom: 1, HeadroomIdleTimeout: 10 * time.Second})
 	assert.Equal(t, len(fill(p, epoch, "chat", 4)), 3)
 	assert.DeepEqual(t, kinds(p.Submit(epoch, ask("now", "counter"))), []string{"grant now"})
 
@@ -167,7 +167,7 @@
 }
 
 func TestWaitBeyondMaxWaitIsRefused(t *testing.T) {
-	p := New(testService(1, 1), Options{NoPreemption: true, NoEstimates: true})
+	p := New(testService(1, 1), Options{NoPreemption: true, NoPredictiveRefusals: true})
 	fill(p, epoch, "counter", 1)
 	p.Submit(epoch, ask("late", "counter"))
 
@@ -178,7 +178,7 @@
 }
 
 func TestLowerTiersLoseBeforeTierOneIsRefused(t *testing.T) {
-	p := New(testService(1, 1), Options{NoPreemption: true, NoEstimates: true})
+	p := New(testService(1, 1), Options{NoPreemption: true, NoPredictiveRefusals: true})
 	fill(p, epoch, "counter", 1)
 	p.Submit(epoch, ask("n", "notes"))
 	p.Submit(epoch, ask("c", "chat"))
--- a/internal/scheduler/preempting.go
+++ b/internal/scheduler/preempting.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	// preemptPatience times PreemptLead is how long a preempted grant may take to
+	// preemptPatience times PreemptionDelay is how long a preempted grant may take to
 	// end before another is preempted in its place.
 	preemptPatience = 10
 	// startShare bounds the part of a target that the expected start may take, so
@@ -28,7 +28,7 @@
 	}
 
 	start := min(w.class.start(p.service.Kind), time.Duration(startShare*float64(settings.Target)))
-	latest := now.Add(settings.Target - w.request.Waited - start - p.options.PreemptLead)
+	latest := now.Add(settings.Target - w.request.Waited - start - p.options.PreemptionDelay)
 
 	if latest.Before(now) {
 		return now
@@ -41,11 +41,11 @@
 // returns when to look again. Slots that were taken back already and not yet
 // freed count, so that no two are lost for one waiter.
 func (p *Pool) preemptFor(now time.Time, w *waiter) time.Time {
-	patience := preemptPatience * p.options.PreemptLead
+	patience := preemptPatience * p.options.PreemptionDelay
 
 	victim, pending := p.victim(now, w)
 	if victim == nil || pending >= p.tiers[topTier].waiting {
-		return now.Add(p.options.PreemptLead)
+		return now.Add(p.options.PreemptionDelay)
 	}
 
 	victim.preempted = true
@@ -59,7 +59,7 @@
 // victim returns the grant to take back for w, or nil, and the number of
 // preempted grants that are about to become free.
 func (p *Pool) victim(now time.Time, w *waiter) (found *grant, pending int) {
-	patience := preemptPatience * p.options.PreemptLead
+	patience := preemptPatience * p.options.PreemptionDelay
 	lost := 0
 
 	for _, g := range p.grants {
--- a/internal/scheduler/property_test.go
+++ b/internal/scheduler/property_test.go
@@ -273,7 +273,7 @@
 			sum += weight
 		}
 
-		p := New(service, Options{Headroom: -1, NoEstimates: true, FixedSlots: true})
+		p := New(service, Options{Headroom: -1, NoPredictiveRefusals: true, FixedSlots: true})
 		const rounds = 12
 
 		for i := range weights {
--- a/internal/scheduler/spare_test.go
+++ b/internal/scheduler/spare_test.go
@@ -42,7 +42,7 @@
 
 	granted := submit("second copy", "counter", true)
 	assert.Equal(t, granted.Kind, Grant)
-	assert.Equal(t, submit("waits", "chat", false).Kind, Kind(0))
+	assert.Equal(t, submit("waits", "chat", false).Kind, DecisionKind(0))
 
 	p.Finish(start, granted.GrantID, Report{Result: dispatcher.ResultSuperseded})
 	assert.Equal(t, submit("third copy", "chat", true).Kind, Refuse, "the waiting request has the slot")
--- a/internal/scheduler/spreading_test.go
+++ b/internal/scheduler/spreading_test.go
@@ -29,9 +29,9 @@
 		t.Run(fmt.Sprint(c), func(t *testing.T) {
 			service := withClass(testService(2, 4), c.class, func(class *configurer.Class) { class.Repeatable = c.repeatable })
 			p := New(service, Options{Headroom: -1, FixedSlots: true})
-			p.Adopt(epoch, "n1", []InFlight{
-				{GrantID: "old", Upstream: "e01", Class: "chat", NotRepeatable: true, Since: epoch.Add(-time.Minute)},
-				{GrantID: "new", Upstream: "e02", Class: "chat", NotRepeatable: true, Since: epoch},
+			p.Reconcile(epoch, "n1", []InFlight{
+				{GrantID: "old", Upstream: "e01", Class: "chat", NotRepeatable: true, StartedAt: epoch.Add(-time.Minute)},
+				{GrantID: "new", Upstream: "e02", Class: "chat", NotRepeatable: true, StartedAt: epoch},
 			})
 
 			request := ask("r", c.class)
@@ -48,7 +48,7 @@
 	service := withClass(testService(1, 8), "chat", func(c *configurer.Class) { c.Repeatable = false })
 	p := New(service, Options{Headroom: -1, FixedSlots: true})
 	held := fill(p, epoch, "chat", 3)
-	p.Adopt(epoch, "n1", []InFlight{{GrantID: "x", Upstream: "e01", Class: "chat", Since: epoch.Add(time.Second)}})
+	p.Reconcile(epoch, "n1", []InFlight{{GrantID: "x", Upstream: "e01", Class: "chat", StartedAt: epoch.Add(time.Second)}})
 
 	now := epoch.Add(2 * time.Second)
 	assert.Equal(t, p.servers[0].exposure.read(now), 7*time.Second)
--- a/internal/scheduler/stats.go
+++ b/internal/scheduler/stats.go
@@ -85,24 +85,24 @@
 	return stats
 }
 
-// Queues says whether requests wait.
-func (p *Pool) Queues() bool {
+// HasWaiting says whether requests wait.
+func (p *Pool) HasWaiting() bool {
 	return len(p.waiting) > 0
 }
 
-// Room is what a pool has for requests that wait.
-type Room struct {
+// Capacity is what a pool has for requests that wait.
+type Capacity struct {
 	// Waiting is the number of requests that wait.
 	Waiting int
 	// Free is the number of slots below the limits of all servers.
 	Free int
-	// ForLower is the part of them that requests below tier 1 may have, as of the latest grant or tick.
-	ForLower int
+	// FreeForLower is the part of them that requests below tier 1 may have, as of the latest grant or tick.
+	FreeForLower int
 }
 
-// Room tells how much room there is beside the requests that wait.
-func (p *Pool) Room() Room {
-	room := Room{Waiting: len(p.waiting), ForLower: p.view.forLower}
+// Capacity tells how much room there is beside the requests that wait.
+func (p *Pool) Capacity() Capacity {
+	room := Capacity{Waiting: len(p.waiting), FreeForLower: p.view.forLower}
 
 	for _, s := range p.servers {
 		room.Free += max(0, s.slots()-s.inFlight)
--- a/internal/scheduler/types.go
+++ b/internal/scheduler/types.go
@@ -50,12 +50,12 @@
 	Duration time.Duration
 }
 
-// Kind says what a decision asks of the driver.
-type Kind int
+// DecisionKind says what a decision asks of the driver.
+type DecisionKind int
 
 const (
 	// Grant gives the request a slot.
-	Grant Kind = iota + 1
+	Grant DecisionKind = iota + 1
 	// Refuse ends the request's wait with a code; it has not run.
 	Refuse
 	// Preempt asks the entry to cancel a running attempt and then finish its grant.
@@ -64,7 +64,7 @@
 
 // Decision is one thing for the driver to carry out.
 type Decision struct {
-	Kind Kind
+	Kind DecisionKind
 	// RequestID and Entry name the ask.
 	RequestID string
 	Entry     string
@@ -89,8 +89,8 @@
 	Organisation string
 	// NotRepeatable keeps the attempt from being preempted.
 	NotRepeatable bool
-	// Since is the time at which the attempt began.
-	Since time.Time
+	// StartedAt is the time at which the attempt began.
+	StartedAt time.Time
 }
 
 // Options select the policy of a pool. The zero value of a field means its default.
@@ -108,44 +108,44 @@
 	// Headroom is the number of slots that only tier 1 may use. Zero means
 	// learned from the bursts of tier 1, below zero means none.
 	Headroom int
-	// HeadroomAbsence is how long after its last request tier 1 keeps the headroom. Default 30 s.
-	HeadroomAbsence time.Duration
+	// HeadroomIdleTimeout is how long after its last request tier 1 keeps the headroom. Default 30 s.
+	HeadroomIdleTimeout time.Duration
 	// MaxQueue is the largest number of waiting requests. Default 4,096.
 	MaxQueue int
-	// GiveUpFactor times its target is the latest estimated first token (plain services: answer)
-	// at which a request of tier 2 or 3 is still queued, and PatientFactor the same for
+	// TargetFactor times its target is the latest estimated first token (plain services: answer)
+	// at which a request of tier 2 or 3 is still queued, and RelaxedTargetFactor the same for
 	// lower tiers; below zero never gives up on a target. Tier 1 never is by an
 	// estimate. Default 1 and 4.
-	GiveUpFactor  float64
-	PatientFactor float64
-	// NoEstimates turns giving up by estimates off: only MaxWait itself and the queue's length refuse.
-	NoEstimates bool
+	TargetFactor        float64
+	RelaxedTargetFactor float64
+	// NoPredictiveRefusals turns giving up by estimates off: only MaxWait itself and the queue's length refuse.
+	NoPredictiveRefusals bool
 	// FixedSlots keeps each server at the slots of its settings, with nothing learned.
 	FixedSlots bool
-	// RebuildFor bounds the time after a takeover in which capacity is unknown. Default 1 s.
-	RebuildFor time.Duration
+	// RebuildTimeout bounds the time after a takeover in which capacity is unknown. Default 1 s.
+	RebuildTimeout time.Duration
 	// RebuildShare is the part of each server that lower tiers may use during that
 	// time. Zero means that they wait; entries answer within milliseconds, and a
 	// slot given twice stays so for a whole answer.
 	RebuildShare float64
-	// Hints choose between servers that are as good as each other; nil means none.
-	Hints Hints
-	// PreemptLead is the time that a cancel takes until its slot is free. Default 50 ms.
-	PreemptLead time.Duration
+	// CacheHints choose between servers that are as good as each other; nil means none.
+	CacheHints CacheHints
+	// PreemptionDelay is the time that a cancel takes until its slot is free. Default 50 ms.
+	PreemptionDelay time.Duration
 }
 
 // lateFactor is the factor that holds for a tier.
 func (o *Options) lateFactor(tier int) float64 {
 	if tier >= patientTier {
-		return o.PatientFactor
+		return o.RelaxedTargetFactor
 	}
 
-	return o.GiveUpFactor
+	return o.TargetFactor
 }
 
 func (o Options) withDefaults() Options {
-	if o.HeadroomAbsence == 0 {
-		o.HeadroomAbsence = 30 * time.Second
+	if o.HeadroomIdleTimeout == 0 {
+		o.HeadroomIdleTimeout = 30 * time.Second
 	}
 
 	if o.Oversubscribe == 0 {
@@ -156,20 +156,20 @@
 		o.MaxQueue = 4096
 	}
 
-	if o.GiveUpFactor == 0 {
-		o.GiveUpFactor = 1
+	if o.TargetFactor == 0 {
+		o.TargetFactor = 1
 	}
 
-	if o.PatientFactor == 0 {
-		o.PatientFactor = 4
+	if o.RelaxedTargetFactor == 0 {
+		o.RelaxedTargetFactor = 4
 	}
 
-	if o.RebuildFor == 0 {
-		o.RebuildFor = time.Second
+	if o.RebuildTimeout == 0 {
+		o.RebuildTimeout = time.Second
 	}
 
-	if o.PreemptLead == 0 {
-		o.PreemptLead = 50 * time.Millisecond
+	if o.PreemptionDelay == 0 {
+		o.PreemptionDelay = 50 * time.Millisecond
 	}
 
 	return o
--- a/internal/server/prefixes_test.go
+++ b/internal/server/prefixes_test.go
@@ -47,10 +47,10 @@
 			node := &Node{prefixes: prefixer.NewTable()}
 			upstream := configurer.Upstream{Name: "engine-1", Address: engine.URL}
 			node.pollCacheEvents(t.Context(), resty.New(), "assistente", upstream)
-			assert.Equal(t, node.prefixes.Saved("assistente", "engine-1", prefixesOf([]byte(body))), 2*prefixer.BlockTokens)
+			assert.Equal(t, node.prefixes.CachedTokens("assistente", "engine-1", prefixesOf([]byte(body))), 2*prefixer.BlockTokens)
 
 			node.pollCacheEvents(t.Context(), resty.New(), "assistente", upstream)
-			assert.Equal(t, node.prefixes.Saved("assistente", "engine-1", prefixesOf([]byte(body))), 2*prefixer.BlockTokens)
+			assert.Equal(t, node.prefixes.CachedTokens("assistente", "engine-1", prefixesOf([]byte(body))), 2*prefixer.BlockTokens)
 		})
 	}
 }
@@ -70,7 +70,7 @@
 	poll := func() int {
 		node.pollCacheEvents(t.Context(), resty.New(), "s", configurer.Upstream{Name: "e", Address: engine.URL})
 
-		return node.prefixes.Saved("s", "e", []uint64{42})
+		return node.prefixes.CachedTokens("s", "e", []uint64{42})
 	}
 
 	assert.Equal(t, poll(), prefixer.BlockTokens)
@@ -101,7 +101,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
 
-	for node.prefixes.Saved("assistente", "engine-1", prefixesOf([]byte(body))) == 0 {
+	for node.prefixes.CachedTokens("assistente", "engine-1", prefixesOf([]byte(body))) == 0 {
 		assert.NilError(t, ctx.Err())
 		node.pollOnce(ctx, resty.New())
 		time.Sleep(10 * time.Millisecond)
--- a/internal/server/slots.go
+++ b/internal/server/slots.go
@@ -21,7 +21,7 @@
 		Pool: scheduler.Options{
 			EnginePriority: n.settings.Routing.EnginePriority,
 			Oversubscribe:  n.settings.Routing.Oversubscribe,
-			Hints:          n.prefixes,
+			CacheHints:     n.prefixes,
 		},
 	}
 
