--- a/internal/gateway/budgeter/borrowing.go
+++ b/internal/gateway/budgeter/borrowing.go
@@ -11,146 +11,146 @@
 )
 
 const (
-	// MethodBorrow asks a peer to pay for an extra attempt of the caller.
+	// MethodBorrow asks a peer to cover an extra attempt of the caller, or part of one, from its own budget.
 	MethodBorrow = "budget.borrow"
-	// askedPeers is the number of peers that are asked for one attempt, one after the other.
-	askedPeers = 8
-	// mostAsking is the number of attempts for which peers are asked at once.
-	mostAsking = 8
-	// askTimeout bounds the answer of a peer, borrowTimeout those of all of them and the wait for a place.
-	askTimeout    = 50 * time.Millisecond
+	// maxPeersAsked is the maximum number of peers asked for one attempt, one after the other.
+	maxPeersAsked = 8
+	// maxConcurrentBorrows is the maximum number of attempts for which peers are asked at the same time.
+	maxConcurrentBorrows = 8
+	// peerTimeout limits the call to one peer, borrowTimeout the calls to all of them and the wait for the semaphore.
+	peerTimeout   = 50 * time.Millisecond
 	borrowTimeout = 100 * time.Millisecond
-	// leastPause is how long no peer is asked after none had anything left; it doubles up to mostPause.
-	leastPause = 250 * time.Millisecond
-	mostPause  = 2 * time.Second
-	// leastLoan is the least part of an attempt that is lent.
-	leastLoan = 0.05
-	// mostServices bounds the services for which something is lent.
-	mostServices = 1_000
+	// minBackoff is how long no peer is asked after none could lend enough. It doubles up to maxBackoff.
+	minBackoff = 250 * time.Millisecond
+	maxBackoff = 2 * time.Second
+	// minLoan is the smallest fraction of an attempt that is lent, unless the peer asks for less.
+	minLoan = 0.05
+	// maxServices limits the number of services with counters when a peer asks for an unknown one.
+	maxServices = 1_000
 )
 
-var errAmount = errors.New("at most one attempt can be borrowed")
+var errInvalidAmount = errors.New("the amount to borrow must be above 0 and at most 1")
 
-// Peers reaches other nodes.
+// Peers sends messages to other nodes.
 type Peers interface {
 	Call(ctx context.Context, peer, method string, params, result any) error
 }
 
 type borrowParams struct {
 	Service string `json:"service"`
-	// Amount is above 0 and at most 1.
+	// Amount is the fraction of an attempt to borrow, above 0 and at most 1.
 	Amount float64 `json:"amount"`
 }
 
-type borrowAnswer struct {
-	// Amount is what the peer pays for; 0 if it has nothing to spare.
+type borrowResult struct {
+	// Amount is the fraction that the peer lends; 0 if it has nothing to spare.
 	Amount float64 `json:"amount"`
 }
 
-// loans bounds the questions to peers.
-type loans struct {
-	places chan struct{}
+// borrower limits how often peers are asked, and keeps borrowed amounts that were not used.
+type borrower struct {
+	semaphore chan struct{}
 
 	mu sync.Mutex
-	// pauses hold by service until when nobody is asked.
-	pauses map[string]pause
-	// parts hold by service what was borrowed and did not make up a whole attempt.
-	parts map[string]loan
-	// turn counts the peers that were asked, so that all are asked one after the other.
-	turn int
+	// backoffs holds by service until when no peer is asked.
+	backoffs map[string]backoff
+	// leftovers holds by service what was borrowed but was not enough for a whole attempt.
+	leftovers map[string]loan
+	// askCount counts the calls to peers, which are asked in round-robin order.
+	askCount int
 }
 
-type pause struct {
-	until, length time.Duration
+type backoff struct {
+	until, duration time.Duration
 }
 
-// loan is a part of an attempt that may be used until it expires.
+// loan is a borrowed fraction of an attempt that may be used until it expires.
 type loan struct {
 	amount  float64
 	expires time.Duration
 }
 
-func newLoans() loans {
-	return loans{places: make(chan struct{}, mostAsking), pauses: make(map[string]pause), parts: make(map[string]loan)}
+func newBorrower() borrower {
+	return borrower{semaphore: make(chan struct{}, maxConcurrentBorrows), backoffs: make(map[string]backoff), leftovers: make(map[string]loan)}
 }
 
-// takePart returns what was kept for the service if it can still be used for so long.
-func (l *loans) takePart(now, atLeast time.Duration, service string) loan {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+// takeLeftover removes and returns the leftover of the service if it stays valid for at least minValidity.
+func (b *borrower) takeLeftover(now, minValidity time.Duration, service string) loan {
+	b.mu.Lock()
+	defer b.mu.Unlock()
 
-	part := l.parts[service]
-	delete(l.parts, service)
+	leftover := b.leftovers[service]
+	delete(b.leftovers, service)
 
-	if part.amount == 0 || part.expires-now < atLeast {
+	if leftover.amount == 0 || leftover.expires-now < minValidity {
 		return loan{}
 	}
 
-	return part
+	return leftover
 }
 
-func (l *loans) keepPart(service string, part loan) {
-	if part.amount == 0 {
+func (b *borrower) keepLeftover(service string, leftover loan) {
+	if leftover.amount == 0 {
 		return
 	}
 
-	l.mu.Lock()
-	defer l.mu.Unlock()
+	b.mu.Lock()
+	defer b.mu.Unlock()
 
-	l.parts[service] = part
+	b.leftovers[service] = leftover
 }
 
-// next returns the peer to ask now.
-func (l *loans) next(peers []string) string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+// nextPeer returns the next peer to ask.
+func (b *borrower) nextPeer(peers []string) string {
+	b.mu.Lock()
+	defer b.mu.Unlock()
 
-	l.turn++
+	b.askCount++
 
-	return peers[l.turn%len(peers)]
+	return peers[b.askCount%len(peers)]
 }
 
-// begin takes a place among those that ask; false if it is no use to ask now.
-func (l *loans) begin(ctx context.Context, now time.Duration, service string) bool {
-	l.mu.Lock()
-	paused := now < l.pauses[service].until
-	l.mu.Unlock()
+// acquire acquires the semaphore for calls to peers. It returns false during a backoff and when ctx ends.
+func (b *borrower) acquire(ctx context.Context, now time.Duration, service string) bool {
+	b.mu.Lock()
+	backingOff := now < b.backoffs[service].until
+	b.mu.Unlock()
 
-	if paused {
+	if backingOff {
 		return false
 	}
 
 	select {
-	case l.places <- struct{}{}:
+	case b.semaphore <- struct{}{}:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// end gives the place back and notes whether peers had something left.
-func (l *loans) end(now time.Duration, service string, lent bool) {
-	<-l.places
+// release releases the semaphore and updates the backoff: lent says whether the peers lent enough.
+func (b *borrower) release(now time.Duration, service string, lent bool) {
+	<-b.semaphore
 
-	l.mu.Lock()
-	defer l.mu.Unlock()
+	b.mu.Lock()
+	defer b.mu.Unlock()
 
 	if lent {
-		delete(l.pauses, service)
+		delete(b.backoffs, service)
 
 		return
 	}
 
-	former := l.pauses[service]
-	if now < former.until {
+	previous := b.backoffs[service]
+	if now < previous.until {
 		return
 	}
 
-	length := min(max(2*former.length, leastPause), mostPause)
-	l.pauses[service] = pause{until: now + length, length: length}
+	duration := min(max(2*previous.duration, minBackoff), maxBackoff)
+	b.backoffs[service] = backoff{until: now + duration, duration: duration}
 }
 
-// borrow pays for an extra attempt of which this node's own budget has a part left.
+// borrow reserves an extra attempt of which this node's own budget covers only the fraction own; peers lend the rest.
 func (b *Budgeter) borrow(ctx context.Context, service string, own float64) (*Permit, bool) {
 	if b.options.Peers == nil {
 		return nil, false
@@ -159,49 +159,49 @@
 	ctx, cancel := context.WithTimeout(ctx, borrowTimeout)
 	defer cancel()
 
-	if !b.loans.begin(ctx, b.options.Now(), service) {
+	if !b.borrower.acquire(ctx, b.options.Now(), service) {
 		return nil, false
 	}
 
-	borrowed := b.gather(ctx, service, 1-own)
-	charge := &Permit{budgeter: b, service: service, own: max(1-borrowed.amount, 0), borrowed: borrowed.amount, expires: borrowed.expires}
+	borrowed := b.borrowFromPeers(ctx, service, 1-own)
+	permit := &Permit{budgeter: b, service: service, own: max(1-borrowed.amount, 0), borrowed: borrowed.amount, expires: borrowed.expires}
 
-	_, ok := b.take(service, charge.own)
+	_, ok := b.reserve(service, permit.own)
 	if !ok {
-		b.loans.keepPart(service, borrowed)
+		b.borrower.keepLeftover(service, borrowed)
 	}
 
-	b.loans.end(b.options.Now(), service, ok)
+	b.borrower.release(b.options.Now(), service, ok)
 
-	return charge, ok
+	return permit, ok
 }
 
-// gather borrows what is missing of an attempt, or a part of it.
-func (b *Budgeter) gather(ctx context.Context, service string, missing float64) loan {
-	now, loanTime := b.options.Now(), durationsOf(b.options.Window).loan
+// borrowFromPeers borrows up to the missing fraction of an attempt, starting with the leftover of the service.
+func (b *Budgeter) borrowFromPeers(ctx context.Context, service string, missing float64) loan {
+	now, loanTime := b.options.Now(), durationsOf(b.options.Window).loanTime
 
-	borrowed := b.loans.takePart(now, loanTime/2, service)
+	borrowed := b.borrower.takeLeftover(now, loanTime/2, service)
 	if borrowed.amount == 0 {
-		// Lenders count from when they are asked, which is later.
+		// Lenders start counting when they are asked, which is later, so the loan never outlasts their record of it.
 		borrowed.expires = now + loanTime
 	}
 
 	peers := b.peers()
 
-	for asked := 0; asked < min(len(peers), askedPeers); asked++ {
-		if borrowed.amount >= missing-rounding || ctx.Err() != nil {
+	for asked := 0; asked < min(len(peers), maxPeersAsked); asked++ {
+		if borrowed.amount >= missing-roundingTolerance || ctx.Err() != nil {
 			break
 		}
 
-		amount := b.ask(ctx, b.loans.next(peers), borrowParams{Service: service, Amount: missing - borrowed.amount})
+		amount := b.askPeer(ctx, b.borrower.nextPeer(peers), borrowParams{Service: service, Amount: missing - borrowed.amount})
 		borrowed.amount += amount
-		b.update(service, func(l *ledger) { l.totals.borrowed += amount })
+		b.update(service, func(c *counters) { c.totals.borrowed += amount })
 	}
 
 	return borrowed
 }
 
-// peers returns the other nodes that answer, in their order.
+// peers returns the other live nodes, sorted by name.
 func (b *Budgeter) peers() []string {
 	peers := slices.DeleteFunc(slices.Clone(b.options.Live()), func(name string) bool { return name == b.options.Self })
 	slices.Sort(peers)
@@ -209,58 +209,58 @@
 	return peers
 }
 
-// ask returns what a peer lends.
-func (b *Budgeter) ask(ctx context.Context, peer string, params borrowParams) float64 {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+// askPeer asks one peer for a loan and returns the amount that it lends.
+func (b *Budgeter) askPeer(ctx context.Context, peer string, params borrowParams) float64 {
+	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 
-	var answer borrowAnswer
-	if err := b.options.Peers.Call(ctx, peer, MethodBorrow, params, &answer); err != nil {
+	var result borrowResult
+	if err := b.options.Peers.Call(ctx, peer, MethodBorrow, params, &result); err != nil {
 		b.options.Logger.Debug().Err(err).Str("peer", peer).Msg("borrow_failed")
 
 		return 0
 	}
 
-	return min(max(answer.Amount, 0), params.Amount)
+	return min(max(result.Amount, 0), params.Amount)
 }
 
-// HandleBorrow answers MethodBorrow.
+// HandleBorrow handles MethodBorrow.
 func (b *Budgeter) HandleBorrow(_ context.Context, _ string, params json.RawMessage) (any, error) {
-	var asked borrowParams
-	if err := json.Unmarshal(params, &asked); err != nil {
+	var request borrowParams
+	if err := json.Unmarshal(params, &request); err != nil {
 		return nil, err
 	}
 
-	if asked.Amount <= 0 || asked.Amount > 1 {
-		return nil, errAmount
+	if request.Amount <= 0 || request.Amount > 1 {
+		return nil, errInvalidAmount
 	}
 
-	return borrowAnswer{Amount: b.lend(asked.Service, asked.Amount)}, nil
+	return borrowResult{Amount: b.lend(request.Service, request.Amount)}, nil
 }
 
-// lend pays for a part of an attempt of a peer, from what this node is not likely to need itself.
+// lend lends a peer up to the given fraction of an attempt, from what this node is unlikely to need itself.
 func (b *Budgeter) lend(service string, amount float64) float64 {
-	part := b.options.Share()
+	share := b.options.Share()
 	now := b.options.Now()
 
 	b.mu.Lock()
 	defer b.mu.Unlock()
 
-	// A service that this node has no requests for may be any text.
-	if _, known := b.services[service]; !known && len(b.services) >= mostServices {
+	// The peer may name a service that this node has never seen, so the number of counters is limited.
+	if _, known := b.services[service]; !known && len(b.services) >= maxServices {
 		return 0
 	}
 
-	l := b.ledger(now, service)
+	c := b.countersFor(now, service)
 
-	spare := b.available(l, part) - l.demand()
-	if spare < min(amount, leastLoan) {
+	spare := b.available(c, share) - c.recentDemand()
+	if spare < min(amount, minLoan) {
 		return 0
 	}
 
 	amount = min(amount, spare)
-	l.extras.add(l.at(now+l.loan+l.late), amount)
-	l.totals.lent += amount
+	c.extraAttempts.add(c.slotAt(now+c.loanTime+c.lateArrival), amount)
+	c.totals.lent += amount
 
 	return amount
 }
--- a/internal/gateway/budgeter/budgeter.go
+++ b/internal/gateway/budgeter/budgeter.go
@@ -1,12 +1,13 @@
-// Package budgeter bounds the attempts that nodes add to the first ones of requests.
+// Package budgeter implements the retry budget: it limits the extra attempts, those that nodes send in addition to the first
+// attempt of each request.
 //
-// In any window, all nodes together send a service at most a ratio of its requests and Extra more. Each node keeps within the
-// ratio of its own requests and its part of Extra, so the sum is kept without a message. A node that needs more borrows from
-// others what they don't need; the lender counts it as its own.
+// In any window, all nodes together send a service at most Ratio extra attempts per request, plus Extra. Each node stays within
+// Ratio of its own requests plus its share of Extra, so the total holds without messages between nodes. A node that needs more
+// borrows unused budget from other nodes; the lender counts it as its own.
 //
-// What counts for a window is the mean of the requests in it and in the one before it. All nodes count alike: bounds of single
-// nodes that each took the larger of the two would not add up. An extra attempt counts in each window in which it may have
-// arrived.
+// The number of requests of a window is the mean of the requests in it and in the window before it. All nodes have to use the
+// same rule: if each node took the larger of the two, the limits of the nodes would not add up to the limit of all. An extra
+// attempt counts in each window in which it may have arrived.
 package budgeter
 
 import (
@@ -18,53 +19,54 @@
 	"github.com/rs/zerolog"
 )
 
-// Options bound extra attempts.
+// Options configures a Budgeter.
 type Options struct {
-	// Ratio is the number of extra attempts for each request.
+	// Ratio is the number of extra attempts allowed per request.
 	Ratio float64
-	// Extra is how many more all nodes together may send in one window; a fraction is allowed.
+	// Extra is the number of extra attempts per window that all nodes together may send beyond Ratio. It may be a fraction.
 	Extra float64
-	// Window is the span over which both hold.
+	// Window is the length of the window to which both limits apply.
 	Window time.Duration
-	// Share returns this node's part of Extra, 0 to 1. Those of all nodes whose attempts can arrive in one window add up to at most 1.
+	// Share returns this node's share of Extra, from 0 to 1. The shares of all nodes whose attempts can arrive in one window
+	// must add up to at most 1.
 	Share func() float64
-	// Now is a clock that counts suspensions.
+	// Now returns a monotonic time that also advances while the system is suspended.
 	Now func() time.Duration
-	// Peers reaches the nodes that may lend; nil if there are none.
+	// Peers reaches the nodes to borrow from; nil if there are none.
 	Peers Peers
-	// Live returns the names of the nodes that answer, this one included.
+	// Live returns the names of the live nodes, this one included.
 	Live func() []string
 	// Self is this node's name.
 	Self   string
 	Logger zerolog.Logger
 }
 
-// Budgeter counts attempts by service. It is safe for concurrent use.
+// Budgeter tracks the retry budget of each service. It is safe for concurrent use.
 //
-// Lock order: Budgeter.mu alone; it is not held during calls of Options.
+// Budgeter.mu is not held together with another lock, nor while functions of Options are called.
 type Budgeter struct {
-	// options holds the bounds in force; these two are read and replaced under mu.
-	options Options
-	loans   loans
+	// options holds the current configuration. mu guards its Ratio and Extra.
+	options  Options
+	borrower borrower
 
 	mu       sync.Mutex
-	services map[string]*ledger
-	// beatAt is when the process was last seen to run, and backlogUntil the end of the time after a stall in which
-	// requests are read that may have been sent long before.
-	beatAt, backlogUntil time.Duration
+	services map[string]*counters
+	// lastRunningAt is the last time at which the process was known to run. backlogUntil is the end of the time after a stall in
+	// which the requests that are read may have been sent long before.
+	lastRunningAt, backlogUntil time.Duration
 }
 
-// New returns a budgeter that has counted nothing.
+// New returns a Budgeter with empty counters.
 func New(options Options) *Budgeter {
 	return &Budgeter{
-		options:  options,
-		loans:    newLoans(),
-		services: make(map[string]*ledger),
-		beatAt:   options.Now(),
+		options:       options,
+		borrower:      newBorrower(),
+		services:      make(map[string]*counters),
+		lastRunningAt: options.Now(),
 	}
 }
 
-// SetBounds replaces the ratio and the extra attempts; what was counted stays.
+// SetBounds replaces Ratio and Extra. The counters are kept.
 func (b *Budgeter) SetBounds(ratio, extra float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -72,107 +74,109 @@
 	b.options.Ratio, b.options.Extra = ratio, extra
 }
 
-// CountRequest counts a request when it arrives.
+// CountRequest counts a request that has just arrived.
 func (b *Budgeter) CountRequest(service string) {
-	b.update(service, func(l *ledger) {
-		b.beatLocked(l.now)
+	b.update(service, func(c *counters) {
+		b.detectStallLocked(c.now)
 
-		l.totals.firsts++
+		c.totals.requests++
 
-		if l.now >= b.backlogUntil {
-			l.firsts.add(l.slot, 1)
+		if c.now >= b.backlogUntil {
+			c.requests.add(c.slot, 1)
 		}
 	})
 }
 
-// MarkRunning tells that the process runs. It must be called several times in each stallTime.
+// MarkRunning records that the process is running. It must be called several times per stallThreshold.
 func (b *Budgeter) MarkRunning() {
 	now := b.options.Now()
 
 	b.mu.Lock()
 	defer b.mu.Unlock()
 
-	b.beatLocked(now)
+	b.detectStallLocked(now)
 }
 
-// beatLocked finds out whether the process was stalled; b.mu is held.
-func (b *Budgeter) beatLocked(now time.Duration) {
-	if now-b.beatAt > stallTime {
-		b.backlogUntil = now + stallGrace
+// detectStallLocked checks whether the process was stalled. The caller holds b.mu.
+func (b *Budgeter) detectStallLocked(now time.Duration) {
+	if now-b.lastRunningAt > stallThreshold {
+		b.backlogUntil = now + stallBacklogTime
 	}
 
-	b.beatAt = now
+	b.lastRunningAt = now
 }
 
-// take takes so much of an extra attempt from this node's own budget, or returns how much is left if that is less.
-func (b *Budgeter) take(service string, amount float64) (left float64, ok bool) {
-	part := b.options.Share()
+// reserve reserves the given fraction of an extra attempt from this node's own budget. If less than that remains, it reserves
+// nothing. remaining is what was available before.
+func (b *Budgeter) reserve(service string, amount float64) (remaining float64, ok bool) {
+	share := b.options.Share()
 
-	b.update(service, func(l *ledger) {
-		left = max(b.available(l, part), 0)
-		ok = left >= amount-rounding
+	b.update(service, func(c *counters) {
+		remaining = max(b.available(c, share), 0)
+		ok = remaining >= amount-roundingTolerance
 
 		if ok {
-			l.inFlight += amount
+			c.reserved += amount
 		}
 	})
 
-	return left, ok
+	return remaining, ok
 }
 
-// update changes the ledger of a service, moved on to now.
-func (b *Budgeter) update(service string, change func(l *ledger)) {
+// update changes the counters of a service after advancing them to the current time.
+func (b *Budgeter) update(service string, change func(c *counters)) {
 	now := b.options.Now()
 
 	b.mu.Lock()
 	defer b.mu.Unlock()
 
-	change(b.ledger(now, service))
+	change(b.countersFor(now, service))
 }
 
-// available is how many extra attempts this node may still pay for, with its part of those that all share; b.mu is held.
-func (b *Budgeter) available(l *ledger, part float64) float64 {
-	return l.available(b.options.Ratio, b.options.Extra*part)
+// available returns how many extra attempts this node may still reserve, given its share of Extra. The caller holds b.mu.
+func (b *Budgeter) available(c *counters, share float64) float64 {
+	return c.available(b.options.Ratio, b.options.Extra*share)
 }
 
-// ledger returns the counts of a service, moved on to now; b.mu is held.
-func (b *Budgeter) ledger(now time.Duration, service string) *ledger {
-	l, ok := b.services[service]
+// countersFor returns the counters of a service, advanced to now. The caller holds b.mu.
+func (b *Budgeter) countersFor(now time.Duration, service string) *counters {
+	c, ok := b.services[service]
 	if !ok {
-		l = &ledger{durations: durationsOf(b.options.Window)}
-		b.services[service] = l
+		c = &counters{durations: durationsOf(b.options.Window)}
+		b.services[service] = c
 	}
 
-	l.advance(now)
+	c.advance(now)
 
-	return l
+	return c
 }
 
-// Usage is what a node has counted for one service, and what it allows now.
+// Usage holds the counters and the current limits of one service on this node.
 type Usage struct {
 	Service string `json:"service"`
-	// Requests and ExtraAttempts count requests and the extra attempts that may have arrived, since the start.
+	// Requests and ExtraAttempts count the requests, and the extra attempts that may have arrived, since the start.
 	Requests      int64 `json:"firsts"`
 	ExtraAttempts int64 `json:"extras"`
-	// Refused counts extra attempts for which nothing was left, Unused those that were paid for and not sent.
+	// Refused counts extra attempts that found no budget left, Unused those that were reserved but not sent.
 	Refused int64 `json:"refused"`
 	Unused  int64 `json:"unused"`
-	// Borrowed and Lent are what peers paid for this node, and this node for peers, in attempts.
+	// Borrowed and Lent are the numbers of attempts borrowed from peers and lent to them.
 	Borrowed float64 `json:"borrowed"`
 	Lent     float64 `json:"lent"`
-	// WindowRequests and WindowExtraAttempts are those that count for the window that begins now; the latter has what was lent.
+	// WindowRequests and WindowExtraAttempts are the numbers that count in the window that starts now. The latter includes what
+	// was lent.
 	WindowRequests      float64 `json:"window_firsts"`
 	WindowExtraAttempts float64 `json:"window_extras"`
-	// Bound is the extra attempts that the node may pay for in that window, Remaining how many it may still pay for in all
-	// windows, Share its share of those that all nodes share.
+	// Bound is the number of extra attempts that the node may send in that window, Remaining how many it may still reserve
+	// without exceeding any window, Share its share of Extra.
 	Bound     float64 `json:"bound"`
 	Remaining float64 `json:"left"`
 	Share     float64 `json:"part"`
 }
 
-// Usage returns what was counted, by service in their order.
+// Usage returns the usage of all services, sorted by name.
 func (b *Budgeter) Usage() []Usage {
-	part := b.options.Share()
+	share := b.options.Share()
 	now := b.options.Now()
 
 	b.mu.Lock()
@@ -181,25 +185,25 @@
 	usage := make([]Usage, 0, len(b.services))
 
 	for _, service := range slices.Sorted(maps.Keys(b.services)) {
-		l := b.ledger(now, service)
-		u := l.totals.usage(service)
-		u.WindowRequests, u.WindowExtraAttempts = l.present()
-		u.Bound = b.options.Ratio*u.WindowRequests + b.options.Extra*part
-		u.Remaining, u.Share = max(b.available(l, part), 0), part
+		c := b.countersFor(now, service)
+		u := c.totals.usage(service)
+		u.WindowRequests, u.WindowExtraAttempts = c.currentWindow()
+		u.Bound = b.options.Ratio*u.WindowRequests + b.options.Extra*share
+		u.Remaining, u.Share = max(b.available(c, share), 0), share
 		usage = append(usage, u)
 	}
 
 	return usage
 }
 
-// totals count since the start.
+// totals counts since the start.
 type totals struct {
-	firsts, extras, refused, unused int64
-	borrowed, lent                  float64
+	requests, extraAttempts, refused, unused int64
+	borrowed, lent                           float64
 }
 
 func (t *totals) usage(service string) Usage {
 	return Usage{
-		Service: service, Requests: t.firsts, ExtraAttempts: t.extras, Refused: t.refused, Unused: t.unused, Borrowed: t.borrowed, Lent: t.lent,
+		Service: service, Requests: t.requests, ExtraAttempts: t.extraAttempts, Refused: t.refused, Unused: t.unused, Borrowed: t.borrowed, Lent: t.lent,
 	}
 }
--- a/internal/gateway/budgeter/fleet_test.go
+++ b/internal/gateway/budgeter/fleet_test.go
@@ -20,20 +20,20 @@
 const (
 	ratio = 0.2
 	extra = 58
-	// randomDays is the number of days with random faults, and randomEvents that of their faults.
-	randomDays   = 40
+	// randomRuns is the number of runs with random faults, randomEvents the number of faults in each.
+	randomRuns   = 40
 	randomEvents = 30
 	window       = 10 * time.Second
-	late         = 5 * time.Second
-	// step is the time between two moments of a simulated fleet.
+	lateArrival  = 5 * time.Second
+	// step is the time step of the simulation.
 	step = 20 * time.Millisecond
-	// settled is when nodes that were started together use their parts.
-	settled = 30 * time.Second
-	// viewLag bounds the age of what a node in touch knows of the store.
-	viewLag = 1300 * time.Millisecond
+	// settlingTime is the time after which nodes that were started together use their shares.
+	settlingTime = 30 * time.Second
+	// maxViewLag is the maximum age of a connected node's view of the store.
+	maxViewLag = 1300 * time.Millisecond
 )
 
-var errAway = errors.New("the peer doesn't answer")
+var errUnreachable = errors.New("the peer doesn't answer")
 
 // fleet simulates nodes that share a budget, in virtual time.
 type fleet struct {
@@ -41,20 +41,20 @@
 	now    time.Duration
 	extra  float64
 	nodes  []*node
-	// listed holds when each node was listed in the store.
+	// listed holds the nodes listed in the store, in the order in which they were added.
 	listed []listing
-	// storeAway says that no node reaches the store.
-	storeAway bool
+	// storeDown is set while no node reaches the store.
+	storeDown bool
 
-	// failing says that upstreams fail; silent that they don't answer either, and may get an attempt late.
+	// failing is set while upstreams fail; silent while they don't even answer, and may receive an attempt late.
 	failing, silent bool
-	// thawAt is when attempts without an answer arrive; 0 if each comes at its own time.
+	// thawAt is when all unanswered attempts arrive; 0 if each arrives after a random delay.
 	thawAt time.Duration
-	// retries is the number of extra attempts that a failed request needs.
+	// retries is the number of extra attempts that a failed request makes.
 	retries int
 
 	events []event
-	// sent are the requests of callers, extras the extra attempts that arrived.
+	// sent holds the times of the requests of callers, extras the times at which extra attempts arrived.
 	sent, extras []time.Duration
 }
 
@@ -68,24 +68,24 @@
 	run func()
 }
 
-// node is one of the fleet; its process is made anew at each start.
+// node is one node of the fleet. Each start creates a new process without any state.
 type node struct {
 	fleet *fleet
 	name  string
-	// rate is the requests a second.
+	// rate is the number of requests per second.
 	rate    float64
 	budget  *budgeter.Budgeter
-	parts   *apportioner.Apportioner
+	shares  *apportioner.Apportioner
 	viewAt  time.Duration
 	startAt time.Duration
-	// away, cut and frozen say that the node is down, reaches nobody but callers and upstreams, or is frozen.
-	away, cut, frozen bool
-	// listed says that the node is listed in the store, known is how many of those that are it knows.
+	// down, cut and frozen say that the process is not running, reaches only callers and upstreams, or is suspended.
+	down, cut, frozen bool
+	// listed is set once the node is listed in the store. known is the number of listed nodes that it knows.
 	listed bool
 	known  int
-	// waiting is the requests that came while it was frozen.
-	waiting int
-	life    int
+	// waiting is the number of requests that arrived while the node was frozen.
+	waiting     int
+	incarnation int
 }
 
 func newFleet(seed uint64, nodes int, rate float64) *fleet {
@@ -95,7 +95,7 @@
 		f.join(rate)
 	}
 
-	f.nodes[0].parts.SetFirstNode()
+	f.nodes[0].shares.SetFirstNode()
 
 	return f
 }
@@ -106,32 +106,32 @@
 	n.start()
 }
 
-// start begins a new life of the node, which remembers nothing.
+// start starts a new process of the node, without any state.
 func (n *node) start() {
 	f := n.fleet
-	n.life++
-	n.away, n.frozen, n.waiting, n.known, n.viewAt, n.startAt = false, false, 0, 0, -1, f.now
+	n.incarnation++
+	n.down, n.frozen, n.waiting, n.known, n.viewAt, n.startAt = false, false, 0, 0, -1, f.now
 	clock := func() time.Duration { return f.now }
-	parts := apportioner.New(apportioner.Options{Self: n.name, MaxListAge: window, Retention: budgeter.Retention(window), Now: clock})
-	n.parts = parts
+	shares := apportioner.New(apportioner.Options{Self: n.name, MaxListAge: window, Retention: budgeter.Retention(window), Now: clock})
+	n.shares = shares
 	n.budget = budgeter.New(budgeter.Options{
 		Ratio: ratio, Extra: f.extra, Window: window, Now: clock,
-		Share: func() float64 { return parts.Share(f.now-n.viewAt, n.viewAt >= 0) },
+		Share: func() float64 { return shares.Share(f.now-n.viewAt, n.viewAt >= 0) },
 		Peers: f, Self: n.name, Live: f.live, Logger: zerolog.Nop(),
 	})
 }
 
 // stop ends the node's process.
 func (n *node) stop() {
-	n.away = true
-	n.life++
+	n.down = true
+	n.incarnation++
 }
 
 func (f *fleet) live() []string {
 	var names []string
 
 	for _, n := range f.nodes {
-		if !n.away {
+		if !n.down {
 			names = append(names, n.name)
 		}
 	}
@@ -144,8 +144,8 @@
 	i := slices.IndexFunc(f.nodes, func(n *node) bool { return n.name == peer })
 
 	n := f.nodes[i]
-	if n.away || n.cut || n.frozen || method != budgeter.MethodBorrow {
-		return errAway
+	if n.down || n.cut || n.frozen || method != budgeter.MethodBorrow {
+		return errUnreachable
 	}
 
 	sent, err := json.Marshal(params)
@@ -170,7 +170,7 @@
 	f.events = append(f.events, event{at: f.now + wait, run: run})
 }
 
-// run lets so much time pass.
+// run advances the simulation by d.
 func (f *fleet) run(d time.Duration) {
 	for end := f.now + d; f.now < end; {
 		f.now += step
@@ -201,7 +201,7 @@
 		}
 	}
 
-	if n.away || n.frozen {
+	if n.down || n.frozen {
 		return
 	}
 
@@ -211,7 +211,7 @@
 		n.serve()
 	}
 
-	if n.cut || f.storeAway {
+	if n.cut || f.storeDown {
 		return
 	}
 
@@ -220,8 +220,8 @@
 		f.listed = append(f.listed, listing{name: n.name, at: f.now})
 	}
 
-	// What it knows is from a moment ago, but never older than what it knew before.
-	viewAt := max(f.now-time.Duration(f.random.Int64N(int64(viewLag))), n.viewAt, n.startAt)
+	// The view lags behind by a random time, but never goes back.
+	viewAt := max(f.now-time.Duration(f.random.Int64N(int64(maxViewLag))), n.viewAt, n.startAt)
 	n.viewAt = viewAt
 
 	known := n.known
@@ -238,10 +238,10 @@
 		names = append(names, l.name)
 	}
 
-	n.parts.Update(names)
+	n.shares.Update(names)
 }
 
-// request is one of a caller. Where the node is down it is sent again, to another one.
+// request handles a request of a caller. If the node is down, the caller sends it again to another node.
 func (n *node) request() {
 	f := n.fleet
 	f.sent = append(f.sent, f.now)
@@ -249,7 +249,7 @@
 	switch {
 	case n.frozen:
 		n.waiting++
-	case !n.away:
+	case !n.down:
 		n.serve()
 	default:
 		others := f.live()
@@ -270,58 +270,58 @@
 	}
 }
 
-// retry sends a request once more after a failure. Arrived says whether all attempts before surely have arrived.
+// retry sends a request once more after a failure. arrived says whether all earlier attempts have certainly arrived.
 func (n *node) retry(left int, arrived bool) {
-	f, life := n.fleet, n.life
+	f, incarnation := n.fleet, n.incarnation
 	if left == 0 {
 		return
 	}
 
 	f.after(step, func() {
-		if n.life != life {
+		if n.incarnation != incarnation {
 			return
 		}
 
-		charge, ok := n.budget.Acquire(context.Background(), "desk")
+		permit, ok := n.budget.Acquire(context.Background(), "desk")
 		if !ok {
 			return
 		}
 
-		n.send(charge, left, arrived && !f.silent)
+		n.send(permit, left, arrived && !f.silent)
 	})
 }
 
-func (n *node) send(charge *budgeter.Permit, left int, arrived bool) {
-	f, life := n.fleet, n.life
+func (n *node) send(permit *budgeter.Permit, left int, arrived bool) {
+	f, incarnation := n.fleet, n.incarnation
 
 	if n.frozen {
-		// It goes on when the node does.
+		// The attempt continues when the node does.
 		f.after(step, func() {
-			if n.life == life {
-				n.send(charge, left, arrived)
+			if n.incarnation == incarnation {
+				n.send(permit, left, arrived)
 			}
 		})
 
 		return
 	}
 
-	if !charge.Usable() {
-		charge.Cancel()
+	if !permit.Usable() {
+		permit.Cancel()
 
 		return
 	}
 
 	if arrived {
 		f.extras = append(f.extras, f.now)
-		charge.Complete(true)
+		permit.Complete(true)
 	} else {
-		wait := time.Duration(f.random.Int64N(int64(late)))
+		wait := time.Duration(f.random.Int64N(int64(lateArrival)))
 		if f.thawAt > f.now {
 			wait = f.thawAt - f.now
 		}
 
 		f.after(wait, func() { f.extras = append(f.extras, f.now) })
-		f.after(900*time.Millisecond, func() { charge.Complete(false) })
+		f.after(900*time.Millisecond, func() { permit.Complete(false) })
 	}
 
 	if f.failing {
@@ -329,36 +329,36 @@
 	}
 }
 
-// figures tell of the worst window: the extras in it and those that are allowed.
-type figures struct {
+// windowUsage is the number of extra attempts in a window and the number allowed in it.
+type windowUsage struct {
 	extras  int
 	allowed float64
 }
 
-func (v figures) String() string {
-	return fmt.Sprintf("%d extra attempts, %.1f allowed", v.extras, v.allowed)
+func (u windowUsage) String() string {
+	return fmt.Sprintf("%d extra attempts, %.1f allowed", u.extras, u.allowed)
 }
 
-// worst returns the window in which the extras come nearest to what is allowed or exceed it most. The requests in it, in the one
-// before it or in the one half a window before it count, whichever has most.
-func (f *fleet) worst() figures {
-	var worst figures
+// worstWindow returns the window whose extra attempts come closest to the limit or exceed it most. The limit follows from the
+// requests in that window, in the one before it or in the one that starts half a window earlier, whichever has most.
+func (f *fleet) worstWindow() windowUsage {
+	var worst windowUsage
 
 	slices.Sort(f.sent)
 	slices.Sort(f.extras)
 
 	for i, begin := range f.extras {
-		found := f.within(begin)
-		if i == 0 || float64(found.extras)-found.allowed > float64(worst.extras)-worst.allowed {
-			worst = found
+		usage := f.usageFrom(begin)
+		if i == 0 || float64(usage.extras)-usage.allowed > float64(worst.extras)-worst.allowed {
+			worst = usage
 		}
 	}
 
 	return worst
 }
 
-// within returns the figures of the window that begins at the given time; times are sorted.
-func (f *fleet) within(begin time.Duration) figures {
+// usageFrom returns the usage of the window that starts at the given time. The recorded times must be sorted.
+func (f *fleet) usageFrom(begin time.Duration) windowUsage {
 	count := func(times []time.Duration, begin time.Duration) int {
 		from, _ := slices.BinarySearch(times, begin)
 		to, _ := slices.BinarySearch(times, begin+window)
@@ -367,15 +367,15 @@
 	}
 	requests := max(count(f.sent, begin), count(f.sent, begin-window/2), count(f.sent, begin-window))
 
-	return figures{extras: count(f.extras, begin), allowed: ratio*float64(requests) + f.extra}
+	return windowUsage{extras: count(f.extras, begin), allowed: ratio*float64(requests) + f.extra}
 }
 
-// Guards against bounds of single nodes that add up to more than what all of them may send.
+// The limits of the nodes must not add up to more than what all of them together may send.
 func TestNodesTogetherStayWithinTheBudget(t *testing.T) {
 	cases := map[string]struct {
-		nodes int
-		rate  float64
-		play  func(*fleet)
+		nodes    int
+		rate     float64
+		scenario func(*fleet)
 	}{
 		"6 nodes, 1 a second":    {6, 1, steady},
 		"9 nodes, 1 a second":    {9, 1, steady},
@@ -405,7 +405,7 @@
 		"nodes join":           {9, 10, joinMany},
 		"nodes join, some cut": {9, 10, func(f *fleet) { f.cut(4); joinMany(f); f.heal(); f.fail(40 * time.Second) }},
 		"nodes cut":            {9, 10, func(f *fleet) { f.cut(3); f.fail(20 * time.Second); f.heal(); f.fail(20 * time.Second) }},
-		"store away":           {9, 10, func(f *fleet) { f.storeAway = true; f.fail(30 * time.Second); f.storeAway = false; steady(f) }},
+		"store away":           {9, 10, func(f *fleet) { f.storeDown = true; f.fail(30 * time.Second); f.storeDown = false; steady(f) }},
 		"nodes freeze":         {9, 10, freezeInFailure},
 		"all freeze":           {9, 10, func(f *fleet) { f.fail(5 * time.Second); f.failing = true; f.freeze(9, 6*time.Second); steady(f) }},
 		"freeze, then calm":    {9, 10, freezeBefore},
@@ -417,10 +417,10 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(1, c.nodes, c.rate)
-			f.run(settled)
-			c.play(f)
+			f.run(settlingTime)
+			c.scenario(f)
 
-			worst := f.worst()
+			worst := f.worstWindow()
 			t.Log(worst)
 			assert.Assert(t, worst.extras > 0)
 			assert.Assert(t, float64(worst.extras) <= worst.allowed, worst.String())
@@ -432,14 +432,14 @@
 	f.fail(40 * time.Second)
 }
 
-// fail lets upstreams fail for so long.
+// fail runs the simulation for d while upstreams fail.
 func (f *fleet) fail(d time.Duration) {
 	f.failing = true
 	f.run(d)
 	f.failing = false
 }
 
-// surge multiplies the traffic for so long.
+// surge runs the simulation for d with multiplied traffic.
 func (f *fleet) surge(by float64, d time.Duration) {
 	f.multiply(by)
 	f.run(d)
@@ -496,7 +496,7 @@
 	f.run(40 * time.Second)
 }
 
-// cut cuts the first nodes off from the store and the others.
+// cut disconnects the first nodes from the store and from all other nodes.
 func (f *fleet) cut(count int) {
 	for _, n := range f.nodes[:count] {
 		n.cut = true
@@ -521,7 +521,7 @@
 	}
 }
 
-// freezeBefore lets all nodes stand still, and upstreams fail while what came meanwhile was read less than a window ago.
+// freezeBefore freezes all nodes, and lets upstreams fail less than a window after the backlog of that time was read.
 func freezeBefore(f *fleet) {
 	f.freeze(9, 9*time.Second)
 	f.multiply(0.2)
@@ -540,7 +540,7 @@
 	f.run(30 * time.Second)
 }
 
-// cutAndJoin lets as many nodes join as there are, while all but one of these can't hear of it.
+// cutAndJoin doubles the number of nodes while all but one of the existing ones can't learn of it.
 func cutAndJoin(f *fleet) {
 	f.cut(8)
 
@@ -548,21 +548,21 @@
 		f.join(f.nodes[0].rate)
 	}
 
-	f.run(settled)
+	f.run(settlingTime)
 	f.failing, f.retries = true, 3
 	f.multiply(4)
 	f.run(40 * time.Second)
 }
 
-// freezeUpstreams lets all upstreams stand still for as long as an attempt is counted on its way, and then fail.
+// freezeUpstreams freezes all upstreams for the time during which an unanswered attempt counts, then lets them fail.
 func freezeUpstreams(f *fleet) {
-	f.silent, f.thawAt = true, f.now+late
-	f.fail(late)
+	f.silent, f.thawAt = true, f.now+lateArrival
+	f.fail(lateArrival)
 	f.silent = false
 	steady(f)
 }
 
-// reload lowers the bound on one node after the other. What is allowed meanwhile is what was allowed before.
+// reload lowers the limit on one node after the other. The test still allows the former limit meanwhile.
 func (f *fleet) reload(to float64) {
 	f.failing = true
 
@@ -572,8 +572,8 @@
 	}
 }
 
-// playRandom lets faults begin and end at random moments, some together.
-func (f *fleet) playRandom(random *rand.Rand) {
+// runRandomFaults starts and ends faults at random times, some of them at once.
+func (f *fleet) runRandomFaults(random *rand.Rand) {
 	for range randomEvents {
 		n := f.nodes[random.IntN(len(f.nodes))]
 
@@ -588,7 +588,7 @@
 		case 3:
 			n.frozen = !n.frozen
 		case 4:
-			f.storeAway = !f.storeAway
+			f.storeDown = !f.storeDown
 		case 5:
 			f.silent = !f.silent
 		case 6:
@@ -604,7 +604,7 @@
 			}
 		case 10:
 			for _, other := range f.nodes {
-				if other.away {
+				if other.down {
 					other.start()
 				}
 
--- a/internal/gateway/budgeter/permit.go
+++ b/internal/gateway/budgeter/permit.go
@@ -5,84 +5,86 @@
 	"time"
 )
 
-// Permit is one extra attempt that was paid for. It counts in each window until it is over. Its methods may be called on nil,
-// which stands for an attempt that costs nothing, but not concurrently.
+// Permit allows one extra attempt. It counts against every window until it is completed or cancelled. A nil Permit stands for
+// an attempt that doesn't count against the budget. Methods must not be called concurrently.
 type Permit struct {
 	budgeter *Budgeter
 	service  string
-	// own and borrowed add up to one attempt.
+	// own and borrowed are the fractions covered by this node and by its peers. They add up to one attempt.
 	own, borrowed float64
-	// expires is when what was borrowed may not be used any more.
+	// expires is the time after which the borrowed fraction must not be used.
 	expires time.Duration
-	over    bool
+	closed  bool
 }
 
-// Acquire pays for one extra attempt, from this node's own budget or from those of others; false if nothing is left.
+// Acquire reserves one extra attempt from this node's budget, or borrows what is missing from other nodes. It returns false if
+// no budget is left.
 func (b *Budgeter) Acquire(ctx context.Context, service string) (*Permit, bool) {
-	b.update(service, func(l *ledger) { l.wanted.add(l.slot, 1) })
+	b.update(service, func(c *counters) { c.demand.add(c.slot, 1) })
 
-	own, ok := b.take(service, 1)
+	own, ok := b.reserve(service, 1)
 	if ok {
 		return &Permit{budgeter: b, service: service, own: 1}, true
 	}
 
-	if charge, ok := b.borrow(ctx, service, own); ok {
-		return charge, true
+	if permit, ok := b.borrow(ctx, service, own); ok {
+		return permit, true
 	}
 
-	b.update(service, func(l *ledger) { l.totals.refused++ })
+	b.update(service, func(c *counters) { c.totals.refused++ })
 
 	return nil, false
 }
 
-// Usable says whether the attempt may still be sent.
-func (c *Permit) Usable() bool {
-	return c == nil || !c.over && (c.borrowed == 0 || c.budgeter.options.Now() <= c.expires)
+// Usable reports whether the attempt may still be sent.
+func (p *Permit) Usable() bool {
+	return p == nil || !p.closed && (p.borrowed == 0 || p.budgeter.options.Now() <= p.expires)
 }
 
-// Borrowed is the part of the attempt that other nodes pay for.
-func (c *Permit) Borrowed() float64 {
-	if c == nil {
+// Borrowed returns the fraction of the attempt that was borrowed from other nodes.
+func (p *Permit) Borrowed() float64 {
+	if p == nil {
 		return 0
 	}
 
-	return c.borrowed
+	return p.borrowed
 }
 
-// Cancel gives back an attempt that was not sent. After Complete it does nothing.
-func (c *Permit) Cancel() {
-	c.end(func(l *ledger) { l.totals.unused++ })
+// Cancel returns the reservation of an attempt that was not sent. It has no effect after Complete.
+func (p *Permit) Cancel() {
+	p.close(func(c *counters) { c.totals.unused++ })
 }
 
-// Complete ends an attempt that was sent. Arrived says that it and those before it of the same request surely have arrived.
-func (c *Permit) Complete(arrived bool) {
-	c.end(func(l *ledger) {
-		last := l.now
+// Complete records an attempt that was sent. arrived says that this attempt and all earlier ones of the same request have
+// certainly arrived; otherwise it may still arrive late.
+func (p *Permit) Complete(arrived bool) {
+	p.close(func(c *counters) {
+		latestArrival := c.now
 		if !arrived {
-			last += l.late
+			latestArrival += c.lateArrival
 		}
 
-		amount := c.own
-		if c.borrowed > 0 && last > c.expires+l.late {
-			// It took longer than its lender counts it.
+		amount := p.own
+		if p.borrowed > 0 && latestArrival > p.expires+c.lateArrival {
+			// The attempt may arrive after its lender has stopped counting it.
 			amount = 1
 		}
 
-		l.extras.add(l.at(last), amount)
-		l.totals.extras++
+		c.extraAttempts.add(c.slotAt(latestArrival), amount)
+		c.totals.extraAttempts++
 	})
 }
 
-// end closes the charge once, and records how.
-func (c *Permit) end(record func(l *ledger)) {
-	if c == nil || c.over {
+// close closes the permit on the first call and updates the counters with record.
+func (p *Permit) close(record func(c *counters)) {
+	if p == nil || p.closed {
 		return
 	}
 
-	c.over = true
+	p.closed = true
 
-	c.budgeter.update(c.service, func(l *ledger) {
-		l.inFlight -= c.own
-		record(l)
+	p.budgeter.update(p.service, func(c *counters) {
+		c.reserved -= p.own
+		record(c)
 	})
 }
