--- a/internal/gateway/broker/bench_test.go
+++ b/internal/gateway/broker/bench_test.go
@@ -13,7 +13,7 @@
 	"quincepath.example/quincepath/internal/gateway/cataloguer"
 )
 
-// BenchmarkAssign is what a node spends on finding all holders after the live nodes changed, at the design size.
+// BenchmarkAssign measures the assignment of all holders after a change of the live nodes, at the design size.
 func BenchmarkAssign(b *testing.B) {
 	const (
 		nodes     = 370
@@ -36,14 +36,14 @@
 	node.Update(state)
 
 	for b.Loop() {
-		// A look at the live nodes is due after 100 ms.
+		// The live nodes are checked again after 100 ms.
 		b.StopTimer()
 		time.Sleep(101 * time.Millisecond)
 
 		lost = 1 - lost
 		b.StartTimer()
 
-		// Any question looks for the holders first.
+		// Every call looks up the holders first.
 		if _, err := node.HandleChoose(context.Background(), "n1", question); err != nil {
 			b.Fatal(err)
 		}
--- a/internal/gateway/broker/broker.go
+++ b/internal/gateway/broker/broker.go
@@ -1,10 +1,11 @@
-// Package broker asks for the upstream of each request and tells what became of it.
+// Package broker obtains an upstream for each request of this node and reports the outcome of the request.
 //
-// One node holds the pool of a service and decides for all, so that the choice
-// rests on one exact view. A second one, the standby, is told the same and takes
-// over at once. Nodes find both by hashing over the live nodes. A node whose holder doesn't
-// answer asks the standby, and else decides by its own sends: the holder is an
-// efficiency, and two of them for a moment break nothing.
+// The upstreams of a service are divided into pools. One node, the holder of a pool, chooses the
+// upstreams for all nodes, so that every choice is based on one complete view. A second node, the
+// standby, receives the same reports and can take over at once. Nodes find both by rendezvous hashing
+// over the live nodes. If the holder doesn't answer, a node asks the standby, and if that doesn't
+// answer either, it decides from the requests that it knows of itself. A holder is only an
+// optimisation: two of them for a short time do no harm.
 package broker
 
 import (
@@ -23,120 +24,120 @@
 )
 
 const (
-	// askTimeout bounds a question to a holder. A way and back takes 3 ms between failure domains; the
-	// shortest targets are 100 ms.
-	askTimeout = 50 * time.Millisecond
-	// doubtTime is how long a holder that did not answer isn't asked.
-	doubtTime = 400 * time.Millisecond
-	// askAgain is how long a queued request waits before its holder is asked again.
-	askAgain = 400 * time.Millisecond
-	// grantInterval is the time between two looks for room without another reason.
+	// chooseTimeout limits a call to a holder. A round trip between failure domains takes 3 ms; the
+	// shortest latency targets are 100 ms.
+	chooseTimeout = 50 * time.Millisecond
+	// holderBackoff is how long a holder isn't asked after it failed to answer.
+	holderBackoff = 400 * time.Millisecond
+	// queuedRetryInterval is how long a queued request waits for a grant before the holders are asked again.
+	queuedRetryInterval = 400 * time.Millisecond
+	// grantInterval is the time between periodic attempts to grant queued requests an upstream.
 	grantInterval = 50 * time.Millisecond
-	// waitPart is the part of its time that a request may wait in a queue.
-	waitPart = 0.6
-	// placeInterval is the time between two looks at the live nodes.
-	placeInterval = 100 * time.Millisecond
-	// flushInterval is how long reports are gathered.
+	// queueTimeFraction is the fraction of its time limit that a request may wait in a queue.
+	queueTimeFraction = 0.6
+	// liveCheckInterval is the minimum time between two checks of the live nodes.
+	liveCheckInterval = 100 * time.Millisecond
+	// flushInterval is how long reports are batched.
 	flushInterval = 4 * time.Millisecond
-	// reportQueue bounds the reports that wait for one node; older ones are dropped.
-	reportQueue = 4096
-	// warmUp is how long a node knows of a pool before it decides for others: until then the other nodes learn that
-	// it lives and tell it what they have running. A node that came back would else take all upstreams for idle,
-	// and fill them beside the one that held the pool meanwhile. News of a node take some two seconds to reach all.
-	warmUp = 2500 * time.Millisecond
-	// holders is the number of nodes that know a pool: the one that decides and its standby.
-	holders = 2
-	// holderCandidates is the number of nodes among which the holder of a pool is found. Holders are few
-	// beside nodes, so one of them nearly always holds less than its part.
+	// maxQueuedReports limits the reports queued for one node. The oldest ones are dropped first.
+	maxQueuedReports = 4096
+	// holderWarmUp is how long a new holder waits before it decides for other nodes. Meanwhile they learn that it is
+	// live, which takes about two seconds, and report their running requests. Otherwise a restarted node would
+	// consider all upstreams idle and overload them, next to the node that held the pool meanwhile.
+	holderWarmUp = 2500 * time.Millisecond
+	// holdersPerPool is the number of nodes that receive the reports about a pool: the holder and its standby.
+	holdersPerPool = 2
+	// holderCandidates is the number of nodes among which the holder of a pool is selected. There are fewer pools than nodes,
+	// so nearly always one of the candidates holds less than its even share.
 	holderCandidates = 8
 )
 
-// Methods between nodes.
+// Methods of the messages between nodes.
 const (
-	// MethodChoose asks a holder for an upstream.
+	// MethodChoose asks a holder to choose an upstream.
 	MethodChoose = "pool.choose"
-	// MethodReport tells a holder what became of requests, and a node which upstream its request got that waited.
+	// MethodReport sends reports about requests to a holder, and grants for queued requests to the nodes that sent them.
 	MethodReport = "pool.report"
 )
 
-// Peers reaches other nodes.
+// Peers sends messages to other nodes.
 type Peers interface {
 	Call(ctx context.Context, peer, method string, params, result any) error
 	Notify(ctx context.Context, peer, method string, params any) error
 }
 
-// Options are the parts of a Broker; all are required.
+// Options configures a Broker. All fields are required.
 type Options struct {
 	// Self is this node's name.
 	Self string
-	// Live returns the names of the nodes that answer and stay, this one included unless it leaves.
+	// Live returns the names of the live nodes that are not shutting down, this one included unless it is shutting down.
 	Live   func() []string
 	Peers  Peers
 	Logger zerolog.Logger
 }
 
-// Broker keeps one pool for each service. It is safe for concurrent use.
+// Broker keeps the pools of all services. It is safe for concurrent use.
 //
-// Lock order: Broker.mu, then that of a pool. Neither is held during calls.
+// Lock order: Broker.mu, then the lock of a pool. Neither is held during calls to other nodes.
 type Broker struct {
 	options Options
-	out     *outbox
+	outbox  *outbox
 
 	mu sync.Mutex
-	// pools are named by service and part.
+	// pools holds the pools by name, which consists of service and partition.
 	pools map[string]*balancer.Pool
-	// layouts holds for each service how its upstreams are parted.
-	layouts map[string]layout
-	// nodes chooses among the live nodes; nil before the first look.
-	nodes    *chooser.Chooser
-	live     []string
-	placedAt time.Time
-	// holders caches the choice for each service; it is emptied when the nodes change.
+	// partitionings holds the partitioning of each service.
+	partitionings map[string]partitioning
+	// nodeChooser chooses among the live nodes. It is nil before the first check of the live nodes.
+	nodeChooser   *chooser.Chooser
+	liveNodes     []string
+	liveCheckedAt time.Time
+	// holders caches the holder and the standby of each pool. It is cleared when the live nodes change.
 	holders map[string][]string
-	// knownSince is when this node became one of those that know a pool.
+	// knownSince maps a pool to the time at which this node became its holder or standby.
 	knownSince map[string]time.Time
-	// doubted maps nodes that did not answer to the time until which they aren't asked.
-	doubted map[string]time.Time
-	// waiting maps this node's requests that wait in a pool's queue to where their grant goes.
-	waiting map[string]chan balancer.Grant
-	// running holds this node's own requests, to tell a new holder of them.
-	running map[string]running
+	// backoffUntil maps nodes that did not answer to the time until which they aren't asked.
+	backoffUntil map[string]time.Time
+	// grantChannels maps the ids of this node's requests that may be queued to the channels for their grants.
+	grantChannels map[string]chan balancer.Grant
+	// running holds this node's running requests, which are reported to new holders.
+	running map[string]runningRequest
 }
 
-// running is a request that this node sent.
-type running struct {
-	pool     string
-	upstream string
-	work     balancer.Work
-	answered bool
-	until    time.Time
-	// pauses is set once a stream has come whole.
+// runningRequest is a request that this node sent to an upstream.
+type runningRequest struct {
+	pool      string
+	upstream  string
+	work      balancer.Work
+	answered  bool
+	expiresAt time.Time
+	// pauses is set once a stream is complete.
 	pauses *balancer.Pauses
 }
 
-// New returns a broker without services.
+// New returns a Broker without services.
 func New(options Options) *Broker {
 	return &Broker{
-		options: options,
-		out:     newOutbox(options.Peers),
-		pools:   make(map[string]*balancer.Pool),
-		layouts: make(map[string]layout),
-		holders: make(map[string][]string),
-
-		knownSince: make(map[string]time.Time),
-		doubted:    make(map[string]time.Time),
-		waiting:    make(map[string]chan balancer.Grant),
-		running:    make(map[string]running),
+		options:       options,
+		outbox:        newOutbox(options.Peers),
+		pools:         make(map[string]*balancer.Pool),
+		partitionings: make(map[string]partitioning),
+		holders:       make(map[string][]string),
+
+		knownSince:    make(map[string]time.Time),
+		backoffUntil:  make(map[string]time.Time),
+		grantChannels: make(map[string]chan balancer.Grant),
+		running:       make(map[string]runningRequest),
 	}
 }
 
-// Run sends reports until ctx ends.
+// Run grants queued requests and sends reports until ctx ends.
 func (b *Broker) Run(ctx context.Context) {
-	go b.grantRegularly(ctx)
-	b.out.run(ctx)
+	go b.grantPeriodically(ctx)
+	b.outbox.run(ctx)
 }
 
-// Update takes in the services and upstreams of a state.
+// Update applies the services and upstreams of a state.
 func (b *Broker) Update(state *cataloguer.State) {
 	upstreams := make(map[string][]balancer.Upstream)
 
@@ -151,7 +152,7 @@
 	}
 
 	now := time.Now()
-	named := make(map[string]bool)
+	kept := make(map[string]bool)
 
 	for _, service := range state.Configuration.Services {
 		engine := balancer.Engine{}
@@ -159,55 +160,55 @@
 			engine = balancer.Engine{CacheTokens: service.Engine.CacheTokens, EventTokens: service.Engine.EventTokens}
 		}
 
-		parts := split(upstreams[service.Name])
-		b.setLayout(service.Name, newLayout(parts))
+		partitions := partitionUpstreams(upstreams[service.Name])
+		b.setPartitioning(service.Name, newPartitioning(partitions))
 
-		for i, part := range parts {
+		for i, partition := range partitions {
 			name := poolName(service.Name, i)
-			named[name] = true
-			b.pool(name).SetUpstreams(now, part, engine)
+			kept[name] = true
+			b.pool(name).SetUpstreams(now, partition, engine)
 		}
 	}
 
-	b.dropOthers(named)
-	b.grantAll(now)
+	b.dropPoolsExcept(kept)
+	b.grantAllPools(now)
 }
 
-func (b *Broker) setLayout(service string, l layout) {
+func (b *Broker) setPartitioning(service string, p partitioning) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 
-	if len(b.layouts[service].weights) != len(l.weights) {
+	if len(b.partitionings[service].weights) != len(p.weights) {
 		clear(b.holders)
 	}
 
-	b.layouts[service] = l
+	b.partitionings[service] = p
 }
 
-func (b *Broker) dropOthers(named map[string]bool) {
+func (b *Broker) dropPoolsExcept(kept map[string]bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 
-	maps.DeleteFunc(b.pools, func(name string, _ *balancer.Pool) bool { return !named[name] })
+	maps.DeleteFunc(b.pools, func(name string, _ *balancer.Pool) bool { return !kept[name] })
 }
 
-// poolOf returns the name of the pool for a request: the same one for requests of one session.
-func (b *Broker) poolOf(service string, work *balancer.Work) string {
+// poolNameFor returns the name of the pool for a request. Requests of one session use the same pool.
+func (b *Broker) poolNameFor(service string, work *balancer.Work) string {
 	b.mu.Lock()
-	l := b.layouts[service]
+	p := b.partitionings[service]
 	b.mu.Unlock()
 
-	return poolName(service, l.part(work))
+	return poolName(service, p.partitionOf(work))
 }
 
-func (b *Broker) pool(service string) *balancer.Pool {
+func (b *Broker) pool(name string) *balancer.Pool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 
-	pool, ok := b.pools[service]
+	pool, ok := b.pools[name]
 	if !ok {
 		pool = balancer.NewPool()
-		b.pools[service] = pool
+		b.pools[name] = pool
 	}
 
 	return pool
@@ -215,30 +216,30 @@
 
 // Stats describes one pool as this node sees it.
 type Stats struct {
-	// Holder is the node that decides for the pool.
+	// Holder is the node that chooses the upstreams of the pool.
 	Holder  string                  `json:"holder"`
 	Waiting int                     `json:"waiting"`
 	Figures estimator.Figures       `json:"figures"`
 	Servers []balancer.ServerReport `json:"servers"`
 }
 
-// Stats returns the state of all pools by service.
+// Stats returns the state of all pools by name.
 func (b *Broker) Stats(now time.Time) map[string]Stats {
 	b.mu.Lock()
-	services := slices.Collect(maps.Keys(b.pools))
+	names := slices.Collect(maps.Keys(b.pools))
 	b.mu.Unlock()
 
-	stats := make(map[string]Stats, len(services))
+	stats := make(map[string]Stats, len(names))
 
-	for _, service := range services {
-		pool := b.pool(service)
+	for _, name := range names {
+		pool := b.pool(name)
 		s := Stats{Waiting: pool.Waiting(), Figures: pool.Figures(), Servers: pool.Report(now)}
 
-		if held := b.holdersOf(service); len(held) > 0 {
-			s.Holder = held[0]
+		if holders := b.holdersOf(name); len(holders) > 0 {
+			s.Holder = holders[0]
 		}
 
-		stats[service] = s
+		stats[name] = s
 	}
 
 	return stats
--- a/internal/gateway/broker/broker_test.go
+++ b/internal/gateway/broker/broker_test.go
@@ -23,23 +23,23 @@
 
 const service = "chat"
 
-// fleet joins brokers by messages that take a millisecond.
+// fleet connects brokers with a message delay of one millisecond.
 type fleet struct {
 	mu    sync.Mutex
 	nodes map[string]*broker.Broker
 	names []string
 	state *cataloguer.State
-	// silent nodes answer nothing; gone ones are not live either.
-	silent, gone map[string]bool
-	// blind nodes don't know yet that gone ones have come back.
-	blind map[string]bool
-	// returned are the nodes that were gone.
-	returned map[string]bool
-	// deaf nodes get no reports.
-	deaf map[string]bool
+	// unresponsive nodes answer nothing; down ones are not live either.
+	unresponsive, down map[string]bool
+	// stale nodes don't know yet that restarted nodes are live again.
+	stale map[string]bool
+	// restarted holds the nodes that were down before.
+	restarted map[string]bool
+	// dropsReports holds the nodes that receive no reports.
+	dropsReports map[string]bool
 }
 
-// link is the fleet as one node sees it.
+// link connects one node to the fleet.
 type link struct {
 	fleet *fleet
 	self  string
@@ -49,7 +49,7 @@
 	f := l.fleet
 
 	f.mu.Lock()
-	node, silent := f.nodes[peer], f.silent[peer] || f.silent[l.self] || f.deaf[peer] && method == broker.MethodReport
+	node, silent := f.nodes[peer], f.unresponsive[peer] || f.unresponsive[l.self] || f.dropsReports[peer] && method == broker.MethodReport
 	f.mu.Unlock()
 
 	if silent {
@@ -94,7 +94,7 @@
 func newFleet(ctx context.Context, t *testing.T, count, servers, slots int) *fleet {
 	t.Helper()
 
-	f := &fleet{nodes: map[string]*broker.Broker{}, silent: map[string]bool{}, gone: map[string]bool{}, deaf: map[string]bool{}, blind: map[string]bool{}, returned: map[string]bool{}}
+	f := &fleet{nodes: map[string]*broker.Broker{}, unresponsive: map[string]bool{}, down: map[string]bool{}, dropsReports: map[string]bool{}, stale: map[string]bool{}, restarted: map[string]bool{}}
 	state := &cataloguer.State{Configuration: cataloguer.Configuration{Version: 1, Services: []cataloguer.Service{{Name: service}}}}
 
 	for i := range servers {
@@ -112,9 +112,9 @@
 	return f
 }
 
-// start starts a node that knows nothing of what runs.
+// start starts a node that knows of no running requests.
 func (f *fleet) start(ctx context.Context, name string) {
-	node := broker.New(broker.Options{Self: name, Live: func() []string { return f.liveTo(name) }, Peers: link{f, name}, Logger: zerolog.Nop()})
+	node := broker.New(broker.Options{Self: name, Live: func() []string { return f.liveSeenBy(name) }, Peers: link{f, name}, Logger: zerolog.Nop()})
 	node.Update(f.state)
 
 	f.mu.Lock()
@@ -124,18 +124,18 @@
 	go node.Run(ctx)
 }
 
-// liveTo returns the nodes that one of them takes for live.
-func (f *fleet) liveTo(name string) []string {
+// liveSeenBy returns the nodes that the given node considers live.
+func (f *fleet) liveSeenBy(name string) []string {
 	live := f.live()
 
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
-	if !f.blind[name] {
+	if !f.stale[name] {
 		return live
 	}
 
-	return slices.DeleteFunc(live, func(other string) bool { return f.returned[other] })
+	return slices.DeleteFunc(live, func(other string) bool { return f.restarted[other] })
 }
 
 func (f *fleet) live() []string {
@@ -144,7 +144,7 @@
 
 	var live []string
 	for _, name := range f.names {
-		if !f.gone[name] {
+		if !f.down[name] {
 			live = append(live, name)
 		}
 	}
@@ -152,14 +152,14 @@
 	return live
 }
 
-func (f *fleet) set(marks map[string]bool, name string) {
+func (f *fleet) mark(marked map[string]bool, name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
-	marks[name] = true
+	marked[name] = true
 }
 
-// holder is the node that decides, others are those that don't know the pool.
+// holder returns the holder of the pool and the nodes that are neither holder nor standby.
 func (f *fleet) holder() (string, []string) {
 	chosen := chooser.New(f.live()).Several(service+"/0", 2)
 
@@ -177,7 +177,7 @@
 	return balancer.Work{ID: id, Limit: 10 * time.Second, Target: 100 * time.Millisecond}
 }
 
-func inFleet(t *testing.T, count, servers, slots int, run func(*testing.T, *fleet)) {
+func withFleet(t *testing.T, count, servers, slots int, run func(*testing.T, *fleet)) {
 	t.Helper()
 
 	synctest.Test(t, func(t *testing.T) {
@@ -185,7 +185,7 @@
 		defer cancel()
 
 		f := newFleet(ctx, t, count, servers, slots)
-		// Holders that have just started leave the choice to others.
+		// Wait until the holders have warmed up.
 		time.Sleep(3 * time.Second)
 		run(t, f)
 		cancel()
@@ -193,7 +193,7 @@
 	})
 }
 
-// choose lets each of the nodes send so many requests and counts them by upstream.
+// choose sends the given number of requests from each node and counts them by upstream.
 func choose(f *fleet, nodes []string, each int, prefix string) map[string]int {
 	counts := map[string]int{}
 
@@ -209,19 +209,18 @@
 	return counts
 }
 
-// Symptom: three nodes send to the same idle server.
-// Cause: each saw its own requests only.
+// If each node knew only its own requests, several nodes would send to the same idle server.
 func TestAllNodesChooseFromOneView(t *testing.T) {
-	inFleet(t, 6, 3, 6, func(t *testing.T, f *fleet) {
+	withFleet(t, 6, 3, 6, func(t *testing.T, f *fleet) {
 		counts := choose(f, f.names, 3, "r")
 		assert.DeepEqual(t, counts, map[string]int{"u0": 6, "u1": 6, "u2": 6})
 	})
 }
 
-// Symptom: while the holder is frozen, requests wait or pile up on few servers.
-// Sequence: it answers nothing and still counts as live; the standby knows the same.
+// While the holder is frozen, it answers nothing but still counts as live. Requests must not wait for it or pile up on few
+// servers, since the standby has the same view.
 func TestStandbyDecidesWhileTheHolderIsSilent(t *testing.T) {
-	inFleet(t, 6, 3, 6, func(t *testing.T, f *fleet) {
+	withFleet(t, 6, 3, 6, func(t *testing.T, f *fleet) {
 		holder, others := f.holder()
 		choose(f, others, 2, "before")
 
@@ -232,7 +231,7 @@
 		}
 
 		time.Sleep(20 * time.Millisecond)
-		f.set(f.silent, holder)
+		f.mark(f.unresponsive, holder)
 
 		counts := map[string]int{}
 
@@ -250,29 +249,28 @@
 	})
 }
 
-// Symptom: after a holder's end its successor overfills servers.
-// Sequence: both holders die; a node that knew nothing takes over.
-// Cause: requests in flight were told to the former holders only.
+// After the holder and the standby died, a node without any view of the pool took over and overloaded servers, because requests
+// in flight had been reported to the former holders only.
 func TestNewHolderIsToldWhatRuns(t *testing.T) {
-	inFleet(t, 8, 1, 4, func(t *testing.T, f *fleet) {
+	withFleet(t, 8, 1, 4, func(t *testing.T, f *fleet) {
 		holder, others := f.holder()
 		_ = choose(f, others[:4], 1, "running")
 		standby := chooser.New(f.live()).Several(service+"/0", 2)[1]
 
 		for _, name := range []string{holder, standby} {
-			f.set(f.silent, name)
-			f.set(f.gone, name)
+			f.mark(f.unresponsive, name)
+			f.mark(f.down, name)
 		}
 
 		time.Sleep(200 * time.Millisecond)
-		// The first look at the new holders tells them what runs.
+		// The first lookup of the new holders reports the running requests to them.
 		for _, name := range others[:4] {
 			f.nodes[name].First("running"+name+"0", nil)
 		}
 
 		time.Sleep(200 * time.Millisecond)
 
-		// A plain server takes its slots and eight more; four of these are taken.
+		// A plain server accepts eight requests beyond its slots; four are running.
 		taken := 0
 
 		for i := range 10 {
@@ -286,15 +284,13 @@
 	})
 }
 
-// Symptom: a queued request waits until its limit although there is room.
-// Sequence: the holder's grant is lost on its way.
-// Cause: nobody asked again.
+// If the holder's grant was lost and nobody asked again, a queued request would wait until its limit although a server has room.
 func TestLostGrantIsAskedForAgain(t *testing.T) {
-	inFleet(t, 5, 1, 1, func(t *testing.T, f *fleet) {
+	withFleet(t, 5, 1, 1, func(t *testing.T, f *fleet) {
 		_, others := f.holder()
-		f.set(f.deaf, others[1])
+		f.mark(f.dropsReports, others[1])
 
-		// A plain server takes its slots and eight more; all are taken here.
+		// A plain server accepts eight requests beyond its slots; all are running.
 		for i := range 9 {
 			_, ok := f.nodes[others[0]].Choose(context.Background(), service, work(fmt.Sprint("r", i)))
 			assert.Assert(t, ok)
@@ -317,7 +313,7 @@
 }
 
 func TestRequestThatLeftTheQueueGetsNothing(t *testing.T) {
-	inFleet(t, 5, 1, 1, func(t *testing.T, f *fleet) {
+	withFleet(t, 5, 1, 1, func(t *testing.T, f *fleet) {
 		_, others := f.holder()
 
 		for i := range 9 {
@@ -338,29 +334,28 @@
 	})
 }
 
-// Symptom: engines set requests back and refuse others two seconds after a VM has come back.
-// Sequence: the holder of a pool dies; its standby fills the servers; the holder comes back and knows nothing; nodes
-// learn that one after the other.
-// Cause: it decided at once, by the requests of those that had told it theirs, beside the standby.
+// Two seconds after a VM came back, engines preempted requests and refused others. The holder of a pool had died, its standby had
+// filled the servers, and the holder came back without any state. It decided at once, next to the standby, knowing only the
+// requests of the nodes that had already noticed its return.
 func TestHolderThatCameBackLearnsBeforeItDecides(t *testing.T) {
-	inFleet(t, 7, 1, 4, func(t *testing.T, f *fleet) {
+	withFleet(t, 7, 1, 4, func(t *testing.T, f *fleet) {
 		ctx := t.Context()
 		holder, others := f.holder()
-		f.set(f.silent, holder)
-		f.set(f.gone, holder)
+		f.mark(f.unresponsive, holder)
+		f.mark(f.down, holder)
 		time.Sleep(200 * time.Millisecond)
 
-		// A plain server takes its slots and eight more.
+		// A plain server accepts eight requests beyond its slots.
 		counts := choose(f, others[:4], 3, "running")
 		assert.DeepEqual(t, counts, map[string]int{"u0": 12})
 
 		f.mu.Lock()
-		f.returned[holder] = true
+		f.restarted[holder] = true
 		for _, name := range others[:4] {
-			f.blind[name] = true
+			f.stale[name] = true
 		}
-		delete(f.silent, holder)
-		delete(f.gone, holder)
+		delete(f.unresponsive, holder)
+		delete(f.down, holder)
 		f.mu.Unlock()
 		f.start(ctx, holder)
 		time.Sleep(200 * time.Millisecond)
@@ -370,11 +365,11 @@
 		assert.Assert(t, !ok)
 
 		f.mu.Lock()
-		clear(f.blind)
+		clear(f.stale)
 		f.mu.Unlock()
 		time.Sleep(3 * time.Second)
 
-		// It decides now, and knows what runs.
+		// The holder decides again, and knows the running requests.
 		f.nodes[others[0]].End("running"+others[0]+"0", balancer.Served)
 		time.Sleep(50 * time.Millisecond)
 
@@ -390,9 +385,8 @@
 	})
 }
 
-// Symptom: on some days the nodes that send most of the requests time out at the one that decides.
-// Sequence: five pools and six strong nodes; hashing gives one node three of the pools.
-// Cause: each pool's holder was chosen without regard to the others.
+// With five pools and six strong nodes, hashing gave one node three of the pools, because the holder of each pool was selected
+// independently. Nodes that sent most of the requests timed out at that holder.
 func TestPoolsAreSpreadOverNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		state := &cataloguer.State{Configuration: cataloguer.Configuration{Version: 1}}
--- /dev/null
+++ b/internal/gateway/broker/choosing.go
@@ -0,0 +1,172 @@
+package broker
+
+import (
+	"context"
+	"time"
+
+	"quincepath.example/quincepath/internal/gateway/balancer"
+)
+
+// Choose implements relayer.Chooser. It waits while the request is queued.
+func (b *Broker) Choose(ctx context.Context, service string, work balancer.Work) (balancer.Choice, bool) {
+	pool := b.poolNameFor(service, &work)
+
+	ctx, cancel := context.WithTimeout(ctx, time.Duration(float64(work.Limit)*queueTimeFraction))
+	defer cancel()
+
+	// The grant may arrive before the answer that says that the request is queued.
+	grants := make(chan balancer.Grant, 1)
+	b.addGrantChannel(work.ID, grants)
+	defer b.removeGrantChannel(work.ID)
+
+	deadline := time.Now().Add(work.Limit)
+
+	for {
+		holders := b.holdersOf(pool)
+		work.Limit = time.Until(deadline)
+
+		choice, decision, answeredBy := b.askHolders(ctx, holders, pool, work)
+
+		switch decision {
+		case balancer.Granted:
+			b.recordStart(pool, work, choice, holders, answeredBy)
+
+			return choice, true
+		case balancer.Refused:
+			return choice, false
+		case balancer.Queued:
+		}
+
+		grant, ok := b.waitForGrant(ctx, grants)
+		if ok && grant.Refused {
+			return choice, false
+		}
+
+		if ok {
+			b.recordStart(pool, work, grant.Choice, holders, answeredBy)
+
+			return grant.Choice, true
+		}
+
+		if ctx.Err() != nil {
+			b.finish(pool, work.ID, balancer.Abandoned, nil)
+
+			return choice, false
+		}
+	}
+}
+
+// waitForGrant waits for a grant, but no longer than queuedRetryInterval: the holder may be gone, or its grant may be lost.
+func (b *Broker) waitForGrant(ctx context.Context, grants <-chan balancer.Grant) (balancer.Grant, bool) {
+	timer := time.NewTimer(queuedRetryInterval)
+	defer timer.Stop()
+
+	select {
+	case grant := <-grants:
+		return grant, true
+	case <-timer.C:
+	case <-ctx.Done():
+	}
+
+	return balancer.Grant{}, false
+}
+
+func (b *Broker) addGrantChannel(id string, grants chan balancer.Grant) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+
+	b.grantChannels[id] = grants
+}
+
+func (b *Broker) removeGrantChannel(id string) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+
+	delete(b.grantChannels, id)
+}
+
+// askHolders asks the holders in order, and decides locally if none of them answers. It returns the index of the holder that
+// answered, -1 for a local decision.
+func (b *Broker) askHolders(ctx context.Context, holders []string, pool string, work balancer.Work) (balancer.Choice, balancer.Decision, int) {
+	// firstUnready is the index of the first holder that is still warming up. It decides only if no other holder does.
+	firstUnready := -1
+
+	for i, holder := range holders {
+		if holder != b.options.Self && b.isBackedOff(holder) {
+			continue
+		}
+
+		result, err := b.askHolder(ctx, holder, chooseParams{Pool: pool, Work: work})
+
+		switch {
+		case err == nil && !result.Unready:
+			return result.Choice, result.Decision, i
+		case err == nil && firstUnready < 0:
+			firstUnready = i
+		case err == nil:
+		case ctx.Err() != nil:
+			return b.decideLocally(pool, work)
+		default:
+			b.backOff(holder, pool, err)
+		}
+	}
+
+	if firstUnready >= 0 {
+		result, err := b.askHolder(ctx, holders[firstUnready], chooseParams{Pool: pool, Work: work, Forced: true})
+		if err == nil {
+			return result.Choice, result.Decision, firstUnready
+		}
+	}
+
+	return b.decideLocally(pool, work)
+}
+
+// decideLocally chooses an upstream from this node's own view of the pool.
+func (b *Broker) decideLocally(pool string, work balancer.Work) (balancer.Choice, balancer.Decision, int) {
+	choice, decision := b.pool(pool).Ask(time.Now(), b.options.Self, work)
+
+	return choice, decision, -1
+}
+
+// askHolder asks one holder to choose an upstream.
+func (b *Broker) askHolder(ctx context.Context, holder string, params chooseParams) (chooseResult, error) {
+	if holder == b.options.Self {
+		return b.decide(holder, params), nil
+	}
+
+	ctx, cancel := context.WithTimeout(ctx, chooseTimeout)
+	defer cancel()
+
+	var result chooseResult
+	err := b.options.Peers.Call(ctx, holder, MethodChoose, params, &result)
+
+	return result, err
+}
+
+// decide chooses an upstream for the node that asks, unless this node is still warming up for the pool.
+func (b *Broker) decide(from string, params chooseParams) chooseResult {
+	if !params.Forced && !b.isReady(params.Pool) {
+		return chooseResult{Unready: true}
+	}
+
+	choice, decision := b.pool(params.Pool).Ask(time.Now(), from, params.Work)
+
+	return chooseResult{Choice: choice, Decision: decision}
+}
+
+// recordStart records a choice and reports it to the holders that did not make it.
+func (b *Broker) recordStart(pool string, work balancer.Work, choice balancer.Choice, holders []string, answeredBy int) {
+	b.mu.Lock()
+	b.running[work.ID] = runningRequest{pool: pool, upstream: choice.Upstream, work: work, expiresAt: time.Now().Add(work.Limit)}
+	b.mu.Unlock()
+
+	if answeredBy < 0 || holders[answeredBy] != b.options.Self {
+		b.pool(pool).Begin(time.Now(), choice.Upstream, work)
+	}
+
+	for i, holder := range holders {
+		if i != answeredBy && holder != b.options.Self {
+			b.outbox.add(holder, report{Pool: pool, ID: work.ID, Begin: &beginReport{Upstream: choice.Upstream, Work: work}})
+		}
+	}
+}
--- /dev/null
+++ b/internal/gateway/broker/holders.go
@@ -0,0 +1,154 @@
+package broker
+
+import (
+	"slices"
+	"time"
+)
+
+// holdersOf returns the holder of the pool, followed by its standby.
+func (b *Broker) holdersOf(pool string) []string {
+	now := time.Now()
+
+	b.mu.Lock()
+
+	var changed bool
+	if now.Sub(b.liveCheckedAt) >= liveCheckInterval {
+		b.liveCheckedAt = now
+		changed = b.refreshLiveNodes()
+	}
+
+	if len(b.holders) == 0 {
+		b.assignHolders(now)
+	}
+
+	holders, ok := b.holders[pool]
+	if !ok {
+		holders = b.nodeChooser.Several(pool, holdersPerPool)
+		b.holders[pool] = holders
+		b.trackKnownSince(pool, holders, now)
+	}
+	b.mu.Unlock()
+
+	if changed {
+		b.announceRunning()
+	}
+
+	return holders
+}
+
+// assignHolders selects the holder and the standby of each pool. The caller holds b.mu. With hashing alone, one node might
+// hold several pools while others hold none, and a holder whose CPU is saturated answers late, so that all nodes decide for
+// themselves. A node that holds its even share of the pools is therefore skipped. The next candidate in hash order is the
+// standby, which already receives the reports about the pool.
+func (b *Broker) assignHolders(now time.Time) {
+	var pools []string
+
+	for service, p := range b.partitionings {
+		for partition := range max(len(p.weights), 1) {
+			pools = append(pools, poolName(service, partition))
+		}
+	}
+
+	slices.Sort(pools)
+
+	heldBy := make(map[string]int)
+	maxHeld := (len(pools) + len(b.liveNodes) - 1) / max(len(b.liveNodes), 1)
+
+	for _, pool := range pools {
+		candidates := b.nodeChooser.Several(pool, holderCandidates)
+		free := slices.IndexFunc(candidates, func(node string) bool { return heldBy[node] < maxHeld })
+
+		if free > 0 {
+			holder := candidates[free]
+			candidates = slices.Insert(slices.Delete(candidates, free, free+1), 0, holder)
+		}
+
+		candidates = candidates[:min(len(candidates), holdersPerPool)]
+		if len(candidates) > 0 {
+			heldBy[candidates[0]]++
+		}
+
+		b.holders[pool] = candidates
+		b.trackKnownSince(pool, candidates, now)
+	}
+}
+
+// trackKnownSince records since when this node is holder or standby of the pool. The caller holds b.mu.
+func (b *Broker) trackKnownSince(pool string, holders []string, now time.Time) {
+	if !slices.Contains(holders, b.options.Self) {
+		delete(b.knownSince, pool)
+
+		return
+	}
+
+	if _, known := b.knownSince[pool]; !known {
+		b.knownSince[pool] = now
+	}
+}
+
+// isReady reports whether this node has received reports about the pool for long enough to decide for other nodes.
+func (b *Broker) isReady(pool string) bool {
+	_ = b.holdersOf(pool)
+
+	b.mu.Lock()
+	defer b.mu.Unlock()
+
+	since, known := b.knownSince[pool]
+
+	return known && time.Since(since) >= holderWarmUp
+}
+
+// refreshLiveNodes updates the live nodes and reports whether they changed. The caller holds b.mu.
+func (b *Broker) refreshLiveNodes() bool {
+	live := b.options.Live()
+	slices.Sort(live)
+
+	if b.nodeChooser != nil && slices.Equal(live, b.liveNodes) {
+		return false
+	}
+
+	b.liveNodes, b.nodeChooser = live, b.nodeChooser.Among(live)
+	clear(b.holders)
+
+	return true
+}
+
+// announceRunning reports this node's running requests to the holders of all pools. Otherwise a new holder would consider
+// busy upstreams idle.
+func (b *Broker) announceRunning() {
+	now := time.Now()
+	running := make(map[string]runningRequest)
+
+	b.mu.Lock()
+	for id, r := range b.running {
+		if now.After(r.expiresAt) {
+			delete(b.running, id)
+
+			continue
+		}
+
+		running[id] = r
+	}
+	b.mu.Unlock()
+
+	for id, r := range running {
+		b.reportToHolders(r.pool, report{Pool: r.pool, ID: id, Begin: &beginReport{Upstream: r.upstream, Work: r.work, Answered: r.answered}})
+	}
+}
+
+func (b *Broker) isBackedOff(node string) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+
+	until, ok := b.backoffUntil[node]
+
+	return ok && time.Now().Before(until)
+}
+
+func (b *Broker) backOff(node, pool string, err error) {
+	b.mu.Lock()
+	b.backoffUntil[node] = time.Now().Add(holderBackoff)
+	b.mu.Unlock()
+
+	b.options.Logger.Info().Err(err).Str("peer", node).Str("pool", pool).Msg("holder_doubted")
+}
--- a/internal/gateway/broker/leaving_test.go
+++ b/internal/gateway/broker/leaving_test.go
@@ -12,7 +12,7 @@
 	"quincepath.example/quincepath/internal/gateway/balancer"
 )
 
-// Guards against: a node that has not heard it itself goes on sending to an upstream that leaves.
+// All nodes must stop sending requests to an upstream that is leaving, not only the one that it told.
 func TestLeavingUpstreamIsChosenForNoNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -37,7 +37,7 @@
 		}
 
 		for i := 0; chosen("n0", i) != "u0"; i++ {
-			// Of two that are as good, the first one is chosen.
+			// Of two equally good upstreams, the first one in the list is chosen.
 			f.state.Registry.Upstreams[0], f.state.Registry.Upstreams[1] = f.state.Registry.Upstreams[1], f.state.Registry.Upstreams[0]
 
 			for _, n := range f.nodes {
@@ -51,7 +51,7 @@
 			}
 		}
 
-		// One that starts again has said nothing.
+		// After a restart, the upstream is no longer leaving.
 		for i := range f.state.Registry.Upstreams {
 			if f.state.Registry.Upstreams[i].ID == "u0" {
 				f.state.Registry.Upstreams[i].Born = 8
--- a/internal/gateway/broker/size_test.go
+++ b/internal/gateway/broker/message_size_test.go
@@ -10,9 +10,9 @@
 	"quincepath.example/quincepath/internal/gateway/balancer"
 )
 
-// mostBytes bounds the messages of one request without their envelopes: with 76 requests a second and
-// node, a fleet of the design size passes its budget by what is more.
-const mostBytes = 1000
+// maxRequestBytes limits the total size of the messages of one request, without their envelopes. Above it, a fleet of the
+// design size with 76 requests per second and node exceeds its traffic budget.
+const maxRequestBytes = 1000
 
 func TestMessagesOfARequestAreShort(t *testing.T) {
 	id := "0b8f6a52-9c41-4d07-be2a-35f68a1c77d0.0"
@@ -27,8 +27,8 @@
 
 	for name, message := range map[string]any{
 		"ask":    chooseParams{Pool: "huvo11a/0", Work: work},
-		"answer": chooseAnswer{Choice: choice},
-		"begin":  reportParams{Reports: []report{{Pool: "huvo11a/0", ID: id, Begin: &begin{Upstream: choice.Upstream, Work: work}}}},
+		"answer": chooseResult{Choice: choice},
+		"begin":  reportParams{Reports: []report{{Pool: "huvo11a/0", ID: id, Begin: &beginReport{Upstream: choice.Upstream, Work: work}}}},
 		"first":  reportParams{Reports: []report{{Pool: "huvo11a/0", ID: id, First: true, Load: &balancer.Load{Running: 12, Waiting: 1}}}},
 		"end":    reportParams{Reports: []report{{Pool: "huvo11a/0", ID: id, End: &served, Pauses: &balancer.Pauses{Events: 20, Mean: 64.3, Longest: 131.8}}}},
 	} {
@@ -38,5 +38,5 @@
 		total += len(data)
 	}
 
-	assert.Assert(t, total < mostBytes, "%d bytes", total)
+	assert.Assert(t, total < maxRequestBytes, "%d bytes", total)
 }
--- a/internal/gateway/broker/outbox.go
+++ b/internal/gateway/broker/outbox.go
@@ -8,40 +8,40 @@
 	"quincepath.example/quincepath/internal/gateway/balancer"
 )
 
-// chooseParams and the types below are the messages between nodes.
+// chooseParams and the types below are the messages between nodes. Their JSON keys are short because of the volume.
 type chooseParams struct {
 	Pool string        `json:"s"`
 	Work balancer.Work `json:"w"`
-	// Forced asks for a choice also from a holder that isn't ready: no other one is.
+	// Forced requests a choice even from a holder that is still warming up, since no other one is ready.
 	Forced bool `json:"f,omitempty"`
 }
 
-type chooseAnswer struct {
+type chooseResult struct {
 	Choice   balancer.Choice   `json:"c"`
 	Decision balancer.Decision `json:"d"`
-	// Unready says that another holder is to be asked first, and that nothing was decided.
+	// Unready is set if the holder is still warming up: it decided nothing, and other holders should be asked first.
 	Unready bool `json:"u,omitempty"`
 }
 
-// report tells one thing about one request.
+// report is one event of one request.
 type report struct {
-	Pool  string `json:"s"`
-	ID    string `json:"i"`
-	Begin *begin `json:"b,omitempty"`
-	// First says that the first event came.
+	Pool  string       `json:"s"`
+	ID    string       `json:"i"`
+	Begin *beginReport `json:"b,omitempty"`
+	// First is set when the first event of the answer has arrived.
 	First bool `json:"f,omitempty"`
-	// Load is what the upstream told with it.
+	// Load is the load that the upstream reported with the first event.
 	Load *balancer.Load `json:"l,omitempty"`
-	// Leaving is an upstream that said that it leaves.
+	// Leaving is the ID of an upstream that announced that it is leaving.
 	Leaving string `json:"v,omitempty"`
-	// Pauses come with the end of a whole stream.
+	// Pauses are sent with the end of a complete stream.
 	Pauses *balancer.Pauses  `json:"p,omitempty"`
 	End    *balancer.Outcome `json:"e,omitempty"`
-	// Grant is what became of a waiting request of the receiver.
+	// Grant is the result for a queued request of the receiver.
 	Grant *balancer.Grant `json:"g,omitempty"`
 }
 
-type begin struct {
+type beginReport struct {
 	Upstream string        `json:"u"`
 	Work     balancer.Work `json:"w"`
 	Answered bool          `json:"a,omitempty"`
@@ -51,14 +51,14 @@
 	Reports []report `json:"r"`
 }
 
-// outbox gathers reports and sends them to each node in order. It is safe for concurrent use.
+// outbox batches reports and sends them to each node in order. It is safe for concurrent use.
 type outbox struct {
 	peers Peers
 	wake  chan struct{}
 
-	mu      sync.Mutex
-	waiting map[string][]report
-	// sending marks nodes to which a message is on its way, so that reports keep their order.
+	mu     sync.Mutex
+	queues map[string][]report
+	// sending holds the nodes to which a message is being sent. At most one is sent at a time, so that reports stay in order.
 	sending map[string]bool
 }
 
@@ -66,17 +66,17 @@
 	return &outbox{
 		peers:   peers,
 		wake:    make(chan struct{}, 1),
-		waiting: make(map[string][]report),
+		queues:  make(map[string][]report),
 		sending: make(map[string]bool),
 	}
 }
 
 func (o *outbox) add(node string, r report) {
 	o.mu.Lock()
-	o.waiting[node] = append(o.waiting[node], r)
+	o.queues[node] = append(o.queues[node], r)
 
-	if over := len(o.waiting[node]) - reportQueue; over > 0 {
-		o.waiting[node] = o.waiting[node][over:]
+	if excess := len(o.queues[node]) - maxQueuedReports; excess > 0 {
+		o.queues[node] = o.queues[node][excess:]
 	}
 	o.mu.Unlock()
 
@@ -86,7 +86,7 @@
 	}
 }
 
-// run sends what waits until ctx ends.
+// run sends queued reports until ctx ends.
 func (o *outbox) run(ctx context.Context) {
 	for {
 		select {
@@ -109,32 +109,32 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 
-	for node, queue := range o.waiting {
+	for node, queue := range o.queues {
 		if len(queue) == 0 || o.sending[node] {
 			continue
 		}
 
 		o.sending[node] = true
-		o.waiting[node] = nil
+		o.queues[node] = nil
 
 		go o.send(ctx, node, queue)
 	}
 }
 
 func (o *outbox) send(ctx context.Context, node string, queue []report) {
-	// A node that is gone learns nothing; the reports are of no use to it later.
+	// Errors are ignored: a node that can't be reached has no use for the reports later.
 	_ = o.peers.Notify(ctx, node, MethodReport, reportParams{Reports: queue})
 
 	o.mu.Lock()
 	delete(o.sending, node)
-	more := len(o.waiting[node]) > 0
+	pending := len(o.queues[node]) > 0
 
-	if !more {
-		delete(o.waiting, node)
+	if !pending {
+		delete(o.queues, node)
 	}
 	o.mu.Unlock()
 
-	if more {
+	if pending {
 		select {
 		case o.wake <- struct{}{}:
 		default:
--- /dev/null
+++ b/internal/gateway/broker/partitions_test.go
@@ -0,0 +1,102 @@
+package broker
+
+import (
+	"fmt"
+	"testing"
+
+	"gotest.tools/v3/assert"
+
+	"quincepath.example/quincepath/internal/gateway/balancer"
+)
+
+const sessionCount = 2000
+
+func makeUpstreams(count int) []balancer.Upstream {
+	var upstreams []balancer.Upstream
+	for i := range count {
+		upstreams = append(upstreams, balancer.Upstream{ID: fmt.Sprint("engine", i), Slots: 64})
+	}
+
+	return upstreams
+}
+
+// sessionPartitions returns the partition of each of sessionCount sessions.
+func sessionPartitions(upstreams []balancer.Upstream) []int {
+	p := newPartitioning(partitionUpstreams(upstreams))
+
+	var partitions []int
+	for i := range sessionCount {
+		partitions = append(partitions, p.partitionOf(&balancer.Work{ID: fmt.Sprint("r", i), Parts: []balancer.Part{{ID: fmt.Sprint("s", i)}, {ID: "own"}}}))
+	}
+
+	return partitions
+}
+
+func movedFraction(before, after []int) float64 {
+	moved := 0
+
+	for i := range before {
+		if before[i] != after[i] {
+			moved++
+		}
+	}
+
+	return float64(moved) / float64(len(before))
+}
+
+// When one engine was lost or replaced, nearly all prompts were read again, on 90 engines 30 million tokens instead of the few
+// that the lost engine had cached: the partition was the hash modulo the number of engines, so nearly every session moved.
+func TestLossOfOneUpstreamMovesFewSessions(t *testing.T) {
+	upstreams := makeUpstreams(90)
+	before := sessionPartitions(upstreams)
+
+	assert.Assert(t, movedFraction(before, sessionPartitions(upstreams[1:])) < 0.03)
+	assert.Assert(t, movedFraction(before, sessionPartitions(makeUpstreams(91))) < 0.03)
+
+	upstreams[5].Draining = true
+	assert.Assert(t, movedFraction(before, sessionPartitions(upstreams)) < 0.03)
+}
+
+// If a fifth of the engines crashes at once, there is one partition less. Only the sixth of the sessions that belonged to it has
+// to move, and those that the other partitions lose with their weight.
+func TestLossOfAPartMovesItsShare(t *testing.T) {
+	upstreams := makeUpstreams(90)
+	remaining := upstreams[:72]
+	assert.Equal(t, len(partitionUpstreams(upstreams))-len(partitionUpstreams(remaining)), 1)
+	assert.Assert(t, movedFraction(sessionPartitions(upstreams), sessionPartitions(remaining)) < 0.4)
+
+	partitionByID := map[string]int{}
+
+	for i, partition := range partitionUpstreams(upstreams) {
+		for _, upstream := range partition {
+			partitionByID[upstream.ID] = i
+		}
+	}
+
+	moved := 0
+
+	for i, partition := range partitionUpstreams(remaining) {
+		for _, upstream := range partition {
+			if partitionByID[upstream.ID] != i {
+				moved++
+			}
+		}
+	}
+
+	assert.Assert(t, moved < 72/3, "%d of 72 engines moved", moved)
+}
+
+// With partitions of different sizes, an engine of a small partition must not get more requests than one of a large partition.
+func TestSessionsFollowTheWeightOfTheirPart(t *testing.T) {
+	p := partitioning{weights: []float64{5, 20, 0, 15}}
+	counts := make([]int, len(p.weights))
+
+	for i := range 8000 {
+		counts[p.partitionOf(&balancer.Work{ID: fmt.Sprint("r", i)})]++
+	}
+
+	for i, weight := range p.weights {
+		want := 200 * weight
+		assert.Assert(t, float64(counts[i]) >= 0.85*want && float64(counts[i]) <= 1.15*want, "partition %d: %d of %.0f", i, counts[i], want)
+	}
+}
--- /dev/null
+++ b/internal/gateway/broker/reports.go
@@ -0,0 +1,224 @@
+package broker
+
+import (
+	"context"
+	"encoding/json"
+	"maps"
+	"slices"
+	"time"
+
+	"quincepath.example/quincepath/internal/gateway/balancer"
+)
+
+// reportToHolders queues a report for the holder and the standby of a pool, except for this node.
+func (b *Broker) reportToHolders(pool string, r report) {
+	for _, holder := range b.holdersOf(pool) {
+		if holder != b.options.Self {
+			b.outbox.add(holder, r)
+		}
+	}
+}
+
+// First implements relayer.Chooser.
+func (b *Broker) First(id string, load *balancer.Load) {
+	b.mu.Lock()
+	r, ok := b.running[id]
+	r.answered = true
+
+	if ok {
+		b.running[id] = r
+	}
+	b.mu.Unlock()
+
+	if !ok {
+		return
+	}
+
+	b.pool(r.pool).First(time.Now(), id, load)
+	b.reportToHolders(r.pool, report{Pool: r.pool, ID: id, First: true, Load: load})
+}
+
+// Paused implements relayer.Chooser.
+func (b *Broker) Paused(id string, pauses balancer.Pauses) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+
+	// The pauses are sent in the same message as the end.
+	if r, ok := b.running[id]; ok {
+		r.pauses = &pauses
+		b.running[id] = r
+	}
+}
+
+// Leaving implements relayer.Chooser.
+func (b *Broker) Leaving(id string) {
+	b.mu.Lock()
+	r, ok := b.running[id]
+	b.mu.Unlock()
+
+	if ok {
+		b.pool(r.pool).Leave(r.upstream)
+		b.reportToHolders(r.pool, report{Pool: r.pool, ID: id, Leaving: r.upstream})
+	}
+}
+
+// End implements relayer.Chooser.
+func (b *Broker) End(id string, outcome balancer.Outcome) {
+	b.mu.Lock()
+	r, ok := b.running[id]
+	delete(b.running, id)
+	b.mu.Unlock()
+
+	if ok {
+		b.finish(r.pool, id, outcome, r.pauses)
+	}
+}
+
+// finish reports to the holder and the standby that a request is no longer running or queued, with the pauses of a complete
+// stream.
+func (b *Broker) finish(pool, id string, outcome balancer.Outcome, pauses *balancer.Pauses) {
+	now := time.Now()
+	ended := report{Pool: pool, ID: id, End: &outcome, Pauses: pauses}
+
+	b.applyReport(now, b.options.Self, ended)
+	b.grantQueued(now, pool)
+	b.reportToHolders(pool, ended)
+}
+
+// HandleChoose handles MethodChoose.
+func (b *Broker) HandleChoose(_ context.Context, from string, params json.RawMessage) (any, error) {
+	var request chooseParams
+	if err := json.Unmarshal(params, &request); err != nil {
+		return nil, err
+	}
+
+	return b.decide(from, request), nil
+}
+
+// HandleReport handles MethodReport.
+func (b *Broker) HandleReport(_ context.Context, from string, params json.RawMessage) (any, error) {
+	var batch reportParams
+	if err := json.Unmarshal(params, &batch); err != nil {
+		return nil, err
+	}
+
+	now := time.Now()
+	pools := make(map[string]bool)
+
+	for _, r := range batch.Reports {
+		b.applyReport(now, from, r)
+		pools[r.Pool] = true
+	}
+
+	for pool := range pools {
+		b.grantQueued(now, pool)
+	}
+
+	return struct{}{}, nil
+}
+
+func (b *Broker) applyReport(now time.Time, from string, r report) {
+	if r.Grant != nil {
+		if !b.deliverGrant(*r.Grant) && !r.Grant.Refused {
+			b.returnGrant(from, r.Pool, r.ID)
+		}
+
+		return
+	}
+
+	pool := b.pool(r.Pool)
+
+	switch {
+	case r.Begin != nil && r.Begin.Answered:
+		pool.Continue(now, r.Begin.Upstream, r.Begin.Work)
+	case r.Begin != nil:
+		pool.Begin(now, r.Begin.Upstream, r.Begin.Work)
+	}
+
+	if r.First {
+		pool.First(now, r.ID, r.Load)
+	}
+
+	if r.Leaving != "" {
+		pool.Leave(r.Leaving)
+	}
+
+	if r.Pauses != nil {
+		pool.Paused(r.ID, *r.Pauses)
+	}
+
+	if r.End != nil {
+		pool.End(now, r.ID, *r.End)
+	}
+}
+
+// grantPeriodically grants queued requests that no other event would grant, until ctx ends.
+func (b *Broker) grantPeriodically(ctx context.Context) {
+	ticker := time.NewTicker(grantInterval)
+	defer ticker.Stop()
+
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case now := <-ticker.C:
+			b.grantAllPools(now)
+		}
+	}
+}
+
+// grantAllPools grants queued requests of all pools.
+func (b *Broker) grantAllPools(now time.Time) {
+	b.mu.Lock()
+	pools := slices.Collect(maps.Keys(b.pools))
+	b.mu.Unlock()
+
+	for _, pool := range pools {
+		// A node must notice that it became a holder, and report its requests to new holders, even if nobody asks it.
+		_ = b.holdersOf(pool)
+		b.grantQueued(now, pool)
+	}
+}
+
+// grantQueued sends grants to the nodes whose queued requests got an upstream or were refused.
+func (b *Broker) grantQueued(now time.Time, pool string) {
+	for _, g := range b.pool(pool).Next(now) {
+		if g.Owner == b.options.Self {
+			if !b.deliverGrant(g) && !g.Refused {
+				b.pool(pool).End(now, g.ID, balancer.Abandoned)
+			}
+
+			continue
+		}
+
+		b.outbox.add(g.Owner, report{Pool: pool, ID: g.ID, Grant: &g})
+	}
+}
+
+// deliverGrant passes a grant to the request that waits for it. It returns false if the request is neither waiting nor running.
+func (b *Broker) deliverGrant(grant balancer.Grant) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+
+	grants, ok := b.grantChannels[grant.ID]
+	if !ok {
+		// After a change of holders, a request that is already running may be granted a second time.
+		_, ok = b.running[grant.ID]
+
+		return ok
+	}
+
+	select {
+	case grants <- grant:
+	default:
+	}
+
+	return true
+}
+
+// returnGrant tells a holder that no request waits for its grant any more: the request was sent elsewhere or ended while
+// another node held the pool. Otherwise the slot would count as taken until the time limit of the request.
+func (b *Broker) returnGrant(holder, pool, id string) {
+	outcome := balancer.Abandoned
+	b.outbox.add(holder, report{Pool: pool, ID: id, End: &outcome})
+}
