--- a/internal/gateway/broker/reporting.go
+++ b/internal/gateway/broker/reports.go
@@ -10,11 +10,11 @@
 	"quincepath.example/quincepath/internal/gateway/balancer"
 )
 
-// tell reports to the holders of a pool other than this node.
-func (b *Broker) tell(pool string, r report) {
+// reportToHolders queues a report for the holder and the standby of a pool, except for this node.
+func (b *Broker) reportToHolders(pool string, r report) {
 	for _, holder := range b.holdersOf(pool) {
 		if holder != b.options.Self {
-			b.out.add(holder, r)
+			b.outbox.add(holder, r)
 		}
 	}
 }
@@ -35,7 +35,7 @@
 	}
 
 	b.pool(r.pool).RecordFirstEvent(time.Now(), id, load)
-	b.tell(r.pool, report{Pool: r.pool, ID: id, First: true, Load: load})
+	b.reportToHolders(r.pool, report{Pool: r.pool, ID: id, First: true, Load: load})
 }
 
 // RecordGaps implements relayer.Chooser.
@@ -43,7 +43,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 
-	// It is told with the end, in one message.
+	// The pauses are sent in the same message as the end.
 	if r, ok := b.running[id]; ok {
 		r.pauses = &pauses
 		b.running[id] = r
@@ -58,7 +58,7 @@
 
 	if ok {
 		b.pool(r.pool).MarkLeaving(r.upstream)
-		b.tell(r.pool, report{Pool: r.pool, ID: id, Leaving: r.upstream})
+		b.reportToHolders(r.pool, report{Pool: r.pool, ID: id, Leaving: r.upstream})
 	}
 }
 
@@ -70,56 +70,57 @@
 	b.mu.Unlock()
 
 	if ok {
-		b.end(r.pool, id, outcome, r.pauses)
+		b.finish(r.pool, id, outcome, r.pauses)
 	}
 }
 
-// end tells all that know the pool that a request runs or waits no longer, and how its events came if it was a whole stream.
-func (b *Broker) end(pool, id string, outcome balancer.Outcome, pauses *balancer.EventGaps) {
+// finish reports to the holder and the standby that a request is no longer running or queued, with the pauses of a complete
+// stream.
+func (b *Broker) finish(pool, id string, outcome balancer.Outcome, pauses *balancer.EventGaps) {
 	now := time.Now()
 	ended := report{Pool: pool, ID: id, End: &outcome, Pauses: pauses}
 
-	b.take(now, b.options.Self, ended)
-	b.grant(now, pool)
-	b.tell(pool, ended)
+	b.applyReport(now, b.options.Self, ended)
+	b.grantQueued(now, pool)
+	b.reportToHolders(pool, ended)
 }
 
-// HandleChoose answers MethodChoose.
+// HandleChoose handles MethodChoose.
 func (b *Broker) HandleChoose(_ context.Context, from string, params json.RawMessage) (any, error) {
-	var asked chooseParams
-	if err := json.Unmarshal(params, &asked); err != nil {
+	var request chooseParams
+	if err := json.Unmarshal(params, &request); err != nil {
 		return nil, err
 	}
 
-	return b.answer(from, asked), nil
+	return b.decide(from, request), nil
 }
 
-// HandleReport answers MethodReport.
+// HandleReport handles MethodReport.
 func (b *Broker) HandleReport(_ context.Context, from string, params json.RawMessage) (any, error) {
-	var told reportParams
-	if err := json.Unmarshal(params, &told); err != nil {
+	var batch reportParams
+	if err := json.Unmarshal(params, &batch); err != nil {
 		return nil, err
 	}
 
 	now := time.Now()
 	pools := make(map[string]bool)
 
-	for _, r := range told.Reports {
-		b.take(now, from, r)
+	for _, r := range batch.Reports {
+		b.applyReport(now, from, r)
 		pools[r.Pool] = true
 	}
 
 	for pool := range pools {
-		b.grant(now, pool)
+		b.grantQueued(now, pool)
 	}
 
 	return struct{}{}, nil
 }
 
-func (b *Broker) take(now time.Time, from string, r report) {
+func (b *Broker) applyReport(now time.Time, from string, r report) {
 	if r.Grant != nil {
-		if !b.deliver(*r.Grant) && !r.Grant.Refused {
-			b.giveBack(from, r.Pool, r.ID)
+		if !b.deliverGrant(*r.Grant) && !r.Grant.Refused {
+			b.returnGrant(from, r.Pool, r.ID)
 		}
 
 		return
@@ -151,8 +152,8 @@
 	}
 }
 
-// grantRegularly gives room to requests for which no other event would.
-func (b *Broker) grantRegularly(ctx context.Context) {
+// grantPeriodically grants queued requests that no other event would grant, until ctx ends.
+func (b *Broker) grantPeriodically(ctx context.Context) {
 	ticker := time.NewTicker(grantInterval)
 	defer ticker.Stop()
 
@@ -161,63 +162,63 @@
 		case <-ctx.Done():
 			return
 		case now := <-ticker.C:
-			b.grantAll(now)
+			b.grantAllPools(now)
 		}
 	}
 }
 
-// grantAll looks for room in all pools.
-func (b *Broker) grantAll(now time.Time) {
+// grantAllPools grants queued requests of all pools.
+func (b *Broker) grantAllPools(now time.Time) {
 	b.mu.Lock()
 	pools := slices.Collect(maps.Keys(b.pools))
 	b.mu.Unlock()
 
 	for _, pool := range pools {
-		// A node that nobody asks must also notice that it became a holder, and tell new holders what it runs.
+		// A node must notice that it became a holder, and report its requests to new holders, even if nobody asks it.
 		_ = b.holdersOf(pool)
-		b.grant(now, pool)
+		b.grantQueued(now, pool)
 	}
 }
 
-// grant tells the owners of requests that waited which upstream they got.
-func (b *Broker) grant(now time.Time, pool string) {
+// grantQueued sends grants to the nodes whose queued requests got an upstream or were refused.
+func (b *Broker) grantQueued(now time.Time, pool string) {
 	for _, g := range b.pool(pool).GrantQueued(now) {
 		if g.Owner == b.options.Self {
-			if !b.deliver(g) && !g.Refused {
+			if !b.deliverGrant(g) && !g.Refused {
 				b.pool(pool).RecordEnd(now, g.ID, balancer.Abandoned)
 			}
 
 			continue
 		}
 
-		b.out.add(g.Owner, report{Pool: pool, ID: g.ID, Grant: &g})
+		b.outbox.add(g.Owner, report{Pool: pool, ID: g.ID, Grant: &g})
 	}
 }
 
-// deliver hands a grant to the request that waits for it, and reports whether one does.
-func (b *Broker) deliver(grant balancer.Grant) bool {
+// deliverGrant passes a grant to the request that waits for it. It returns false if the request is neither waiting nor running.
+func (b *Broker) deliverGrant(grant balancer.Grant) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 
-	granted, ok := b.waiting[grant.ID]
+	grants, ok := b.grantChannels[grant.ID]
 	if !ok {
-		// A request that runs already may be granted a second time after a change of holders.
+		// After a change of holders, a request that is already running may be granted a second time.
 		_, ok = b.running[grant.ID]
 
 		return ok
 	}
 
 	select {
-	case granted <- grant:
+	case grants <- grant:
 	default:
 	}
 
 	return true
 }
 
-// giveBack tells a holder that nobody waits for its grant any more: the request went elsewhere or ended while
-// another node held the pool. Its slot would else count as taken until the request's limit.
-func (b *Broker) giveBack(holder, pool, id string) {
+// returnGrant tells a holder that no request waits for its grant any more: the request was sent elsewhere or ended while
+// another node held the pool. Otherwise the slot would count as taken until the time limit of the request.
+func (b *Broker) returnGrant(holder, pool, id string) {
 	outcome := balancer.Abandoned
-	b.out.add(holder, report{Pool: pool, ID: id, End: &outcome})
+	b.outbox.add(holder, report{Pool: pool, ID: id, End: &outcome})
 }
