--- a/internal/gateway/packer/packer.go
+++ b/internal/gateway/packer/packer.go
@@ -1,8 +1,8 @@
-// Package packer encodes what nodes tell each other into parcels, and passes them on in pages.
+// Package packer encodes messages between nodes into payloads and transfers them in pages.
 //
-// A parcel is encoded once, however many peers ask for it. It is passed on in pages, each with its own deadline, so
-// that a parcel that takes long on a narrow link still comes: it would else be given up and begun anew for ever. A
-// parcel of which a part came can go on from any peer that has the same one.
+// A payload is encoded once, however many peers request it. Each page is transferred with its own deadline, so that a
+// long payload also arrives over a slow link; otherwise it would time out and start over indefinitely. A partial
+// transfer can resume from any peer that has the same payload.
 package packer
 
 import (
@@ -16,102 +16,103 @@
 )
 
 const (
-	// pageBytes is the size of a page. Twenty peers that ask a node with a link of 20 Mbit/s at once have theirs in 0.26 s.
+	// pageBytes is the size of a page. A node with a 20 Mbit/s link sends one page to each of 20 peers in 0.26 s.
 	pageBytes = 24 << 10
-	// plainBytes is the length up to which a parcel isn't compressed: the compressor's tables cost more than such a one.
-	plainBytes = 2 << 10
-	// mostBytes bounds a parcel as it is unpacked: a broken one must not fill the memory.
-	mostBytes = 16 << 20
+	// maxUncompressedBytes is the length up to which a payload isn't compressed: the compressor's tables cost more
+	// than they save.
+	maxUncompressedBytes = 2 << 10
+	// maxDecodedBytes bounds a decoded payload, so that a malformed one can't exhaust the memory.
+	maxDecodedBytes = 16 << 20
 )
 
-// Forms of a parcel's first byte.
+// Encodings, given by the first byte of a payload.
 const (
-	formPlain      = 'p'
-	formCompressed = 'c'
+	encodingPlain   = 'p'
+	encodingDeflate = 'c'
 )
 
 // Payload is an encoded value. The zero Payload is empty.
 type Payload struct {
-	// ID tells parcels apart by what they hold.
+	// ID is a hash of the payload's content.
 	ID   uint64
 	data []byte
 }
 
-// Pack encodes a value.
+// Pack encodes a value and compresses long ones.
 func Pack(value any) (Payload, error) {
 	encoded, err := json.Marshal(value)
 	if err != nil {
-		return Payload{}, errors.Wrap(err, "encode a parcel")
+		return Payload{}, errors.Wrap(err, "encode payload")
 	}
 
-	if len(encoded) <= plainBytes {
-		return newParcel(append([]byte{formPlain}, encoded...)), nil
+	if len(encoded) <= maxUncompressedBytes {
+		return newPayload(append([]byte{encodingPlain}, encoded...)), nil
 	}
 
-	packed := bytes.NewBuffer([]byte{formCompressed})
+	packed := bytes.NewBuffer([]byte{encodingDeflate})
 
 	writer, err := flate.NewWriter(packed, flate.BestSpeed)
 	if err != nil {
-		return Payload{}, errors.Wrap(err, "compress a parcel")
+		return Payload{}, errors.Wrap(err, "compress payload")
 	}
 
 	if _, err := writer.Write(encoded); err != nil {
-		return Payload{}, errors.Wrap(err, "compress a parcel")
+		return Payload{}, errors.Wrap(err, "compress payload")
 	}
 
 	if err := writer.Close(); err != nil {
-		return Payload{}, errors.Wrap(err, "compress a parcel")
+		return Payload{}, errors.Wrap(err, "compress payload")
 	}
 
-	return newParcel(bytes.Clone(packed.Bytes())), nil
+	return newPayload(bytes.Clone(packed.Bytes())), nil
 }
 
-func newParcel(data []byte) Payload {
+func newPayload(data []byte) Payload {
 	return Payload{ID: xxhash.Sum64(data), data: data}
 }
 
-// Unpack decodes the value.
+// Unpack decodes the payload into value.
 func (p Payload) Unpack(value any) error {
 	if len(p.data) == 0 {
-		return errors.New("the parcel is empty")
+		return errors.New("payload is empty")
 	}
 
 	var encoded io.Reader = bytes.NewReader(p.data[1:])
 
 	switch p.data[0] {
-	case formPlain:
-	case formCompressed:
+	case encodingPlain:
+	case encodingDeflate:
 		encoded = flate.NewReader(encoded)
 	default:
-		return errors.Newf("the parcel has the unknown form %q", p.data[0])
+		return errors.Newf("unknown payload encoding %q", p.data[0])
 	}
 
-	err := json.NewDecoder(io.LimitReader(encoded, mostBytes)).Decode(value)
+	err := json.NewDecoder(io.LimitReader(encoded, maxDecodedBytes)).Decode(value)
 
-	return errors.Wrap(err, "decode a parcel")
+	return errors.Wrap(err, "decode payload")
 }
 
-// Page is a piece of a parcel.
+// Page is a contiguous part of a payload.
 type Page struct {
-	// ID is that of the parcel.
+	// ID is the ID of the payload.
 	ID uint64 `json:"id"`
-	// Size is the number of bytes of the whole parcel.
+	// Size is the length of the whole payload in bytes.
 	Size int `json:"size"`
-	// Offset is where in the parcel the page begins.
+	// Offset is the position of the page in the payload.
 	Offset int    `json:"offset,omitempty"`
 	Data   []byte `json:"data"`
 }
 
-// IsLast says whether the parcel ends with this page.
+// IsLast reports whether the payload ends with this page.
 func (p Page) IsLast() bool {
 	return p.Offset+len(p.Data) >= p.Size
 }
 
-// Page returns the page after the part that the asker holds: the first one if that is of another parcel.
-func (p Payload) Page(held Progress) Page {
+// Page returns the page that follows the receiver's progress, or the first one if the progress is of another payload.
+func (p Payload) Page(progress Progress) Page {
 	offset := 0
-	if held.ID == p.ID && held.Bytes > 0 && held.Bytes < len(p.data) {
-		offset = held.Bytes
+	if progress.ID == p.ID && progress.Bytes > 0 && progress.Bytes < len(p.data) {
+		offset = progress.Bytes
 	}
 
 	end := min(offset+pageBytes, len(p.data))
@@ -119,31 +120,31 @@
 	return Page{ID: p.ID, Size: len(p.data), Offset: offset, Data: p.data[offset:end]}
 }
 
-// Progress says how much of a parcel is held. The zero Progress means none.
+// Progress is how much of a payload has been received. The zero Progress means none.
 type Progress struct {
 	ID    uint64 `json:"id"`
 	Bytes int    `json:"bytes"`
 }
 
-// Assembler puts the pages of one parcel together. The zero Assembler holds nothing.
+// Assembler reassembles the pages of one payload. The zero Assembler is empty.
 type Assembler struct {
 	id   uint64
 	data []byte
 }
 
-// Progress is the part that came so far.
+// Progress returns how much of the payload has been received so far.
 func (a *Assembler) Progress() Progress {
 	return Progress{ID: a.id, Bytes: len(a.data)}
 }
 
-// Add takes in a page. It returns the parcel once it is whole. A page that doesn't continue what is held begins
-// anew if it is a first one, and else says nothing.
+// Add adds a page and returns the payload once it is complete. A page that doesn't continue the current transfer
+// restarts it if it is a first page, and is ignored otherwise.
 func (a *Assembler) Add(page Page) (Payload, bool, error) {
 	switch {
-	case page.Size < 0 || page.Size > mostBytes || page.Offset < 0:
+	case page.Size < 0 || page.Size > maxDecodedBytes || page.Offset < 0:
 		*a = Assembler{}
 
-		return Payload{}, false, errors.Newf("a parcel of %d bytes, page at %d", page.Size, page.Offset)
+		return Payload{}, false, errors.Newf("invalid page: payload of %d bytes, page at %d", page.Size, page.Offset)
 	case page.Offset == 0:
 		*a = Assembler{id: page.ID}
 	case page.ID != a.id || page.Offset != len(a.data):
@@ -155,12 +156,12 @@
 		return Payload{}, false, nil
 	}
 
-	whole := newParcel(a.data)
+	payload := newPayload(a.data)
 	*a = Assembler{}
 
-	if whole.ID != page.ID {
-		return Payload{}, false, errors.New("the parcel isn't what its id says")
+	if payload.ID != page.ID {
+		return Payload{}, false, errors.New("payload does not match its ID")
 	}
 
-	return whole, true, nil
+	return payload, true, nil
 }
--- a/internal/gateway/packer/packer_test.go
+++ b/internal/gateway/packer/packer_test.go
@@ -13,14 +13,14 @@
 func pack(t testing.TB, value any) packer.Payload {
 	t.Helper()
 
-	parcel, err := packer.Pack(value)
+	payload, err := packer.Pack(value)
 	assert.NilError(t, err)
 
-	return parcel
+	return payload
 }
 
-// letters returns text that hardly compresses.
-func letters(length int) string {
+// incompressibleText returns text that hardly compresses.
+func incompressibleText(length int) string {
 	var text strings.Builder
 
 	state := uint32(7)
@@ -34,21 +34,21 @@
 
 func TestParcelsComeWhole(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		want := letters(rapid.IntRange(0, 200_000).Draw(t, "length"))
+		want := incompressibleText(rapid.IntRange(0, 200_000).Draw(t, "length"))
 
-		parcel, err := packer.Pack(want)
+		payload, err := packer.Pack(want)
 		assert.NilError(t, err)
 
 		var assembler packer.Assembler
 
 		for {
-			whole, done, err := assembler.Add(parcel.Page(assembler.Progress()))
+			whole, done, err := assembler.Add(payload.Page(assembler.Progress()))
 			assert.NilError(t, err)
 
 			if !done {
-				// A page that comes twice changes nothing.
+				// A repeated page changes nothing.
 				if rapid.Bool().Draw(t, "twice") {
-					_, _, err := assembler.Add(parcel.Page(packer.Progress{ID: parcel.ID, Bytes: 1}))
+					_, _, err := assembler.Add(payload.Page(packer.Progress{ID: payload.ID, Bytes: 1}))
 					assert.NilError(t, err)
 				}
 
@@ -65,11 +65,10 @@
 	})
 }
 
-// Symptom: a node takes in a configuration that nobody wrote.
-// Sequence: half of a parcel has come when the peer goes on with a newer one, or another peer sends its own.
-// Cause: pages were joined by their place alone.
+// A peer switches to a newer payload, or another peer sends its own, when half of a payload has been received. Pages
+// joined only by their offset would form a configuration that nobody wrote.
 func TestPagesOfTwoParcelsAreNotJoined(t *testing.T) {
-	first, second := pack(t, letters(60_000)), pack(t, letters(60_001))
+	first, second := pack(t, incompressibleText(60_000)), pack(t, incompressibleText(60_001))
 
 	var assembler packer.Assembler
 
@@ -78,12 +77,12 @@
 	assert.Assert(t, !done)
 
 	held := assembler.Progress()
-	assert.Equal(t, second.Page(held).Offset, 0, "the other parcel begins anew")
+	assert.Equal(t, second.Page(held).Offset, 0, "the other payload starts over")
 
 	_, done, err = assembler.Add(second.Page(packer.Progress{ID: second.ID, Bytes: held.Bytes}))
 	assert.NilError(t, err)
 	assert.Assert(t, !done)
-	assert.Equal(t, assembler.Progress(), held, "a later page of the other parcel says nothing")
+	assert.Equal(t, assembler.Progress(), held, "a later page of the other payload is ignored")
 
 	_, _, err = assembler.Add(second.Page(held))
 	assert.NilError(t, err)
@@ -94,7 +93,7 @@
 	var assembler packer.Assembler
 
 	_, _, err := assembler.Add(packer.Page{ID: 7, Size: 3, Data: []byte("abc")})
-	assert.ErrorContains(t, err, "isn't what its id says")
+	assert.ErrorContains(t, err, "payload does not match its ID")
 
 	_, _, err = assembler.Add(packer.Page{ID: 7, Size: 1 << 30})
 	assert.ErrorContains(t, err, "bytes")
