--- a/internal/gateway/follower/announcing.go
+++ b/internal/gateway/follower/announcing.go
@@ -11,28 +11,30 @@
 )
 
 const (
-	// announceInterval is the time between two tries to list this node in the store.
+	// announceInterval is the time between two attempts to list this node in the store.
 	announceInterval = 2 * time.Second
-	// gatherTime is how long a node collects others that want to be listed. All nodes of a fleet may start within a third of a
-	// second; each write would else be a call, and each moves the registry on all nodes.
-	gatherTime = 300 * time.Millisecond
-	// mostArrivals is the number of nodes that are listed in one write.
-	mostArrivals = 32
-	// announceTries is how often a node asks others to list it before it writes itself; they may be starting too.
-	announceTries = 3
-	// announcePause is the time between these tries.
-	announcePause = 400 * time.Millisecond
-	// withdrawInterval is the time between two looks for nodes that are gone for good. It costs the first
-	// node a comparison, and the store one write for all that are found.
+	// announceBatchDelay is how long a node collects other nodes to list before it writes them. All nodes of a fleet
+	// may start within a third of a second; without batching, each would cost a store call and change the registry on
+	// all nodes.
+	announceBatchDelay = 300 * time.Millisecond
+	// maxAnnounceBatch limits the nodes that are listed in one write.
+	maxAnnounceBatch = 32
+	// announceAttempts is the number of attempts in a cycle. In the last one the node lists itself; in the earlier
+	// ones it asks other nodes, which may still be starting.
+	announceAttempts = 3
+	// announceRetryInterval is the time between these attempts.
+	announceRetryInterval = 400 * time.Millisecond
+	// withdrawInterval is the time between two checks for departed nodes. A check costs the root node a comparison,
+	// and the store one write for all that are found.
 	withdrawInterval = time.Minute
 )
 
-// MethodAnnounce asks a peer to list the caller in the store together with others.
+// MethodAnnounce asks a peer to list the caller in the store, batched with others.
 const MethodAnnounce = "catalog.announce"
 
-// takeAnnouncement says whether this node is to be listed in the store now, and by whom. A registry without
-// it was read before its first announcement, or its announcement failed.
-func (f *Follower) takeAnnouncement(t *tree) (string, bool) {
+// scheduleAnnouncement reports whether this node is due to be listed in the store, and which node should write it.
+// The registry lacks this node if it was read before the first announcement, or if the announcement failed.
+func (f *Follower) scheduleAnnouncement(t *tree) (string, bool) {
 	now := f.options.Catalog.Now()
 	registry := f.options.Catalog.State().Registry
 	seeds := f.options.Seeds()
@@ -40,19 +42,19 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
-	pause := announceInterval
-	if f.failedAnnouncements%announceTries > 0 {
-		pause = announcePause
+	interval := announceInterval
+	if f.failedAnnouncements%announceAttempts > 0 {
+		interval = announceRetryInterval
 	}
 
-	if registry.Revision == 0 || now-f.announcedAt < pause || slices.Contains(registry.Nodes, f.options.Self) {
+	if registry.Revision == 0 || now-f.lastAnnouncementAt < interval || slices.Contains(registry.Nodes, f.options.Self) {
 		return "", false
 	}
 
-	f.announcedAt = now
+	f.lastAnnouncementAt = now
 
 	switch {
-	case f.failedAnnouncements%announceTries == announceTries-1:
+	case f.failedAnnouncements%announceAttempts == announceAttempts-1:
 		return f.options.Self.Name, true
 	case len(t.order) > 1:
 		return t.order[0], true
@@ -63,11 +65,11 @@
 	}
 }
 
-// announce asks a node to list this one.
-func (f *Follower) announce(ctx context.Context, gatherer string) {
-	if gatherer == f.options.Self.Name {
-		f.noteAnnouncement(true)
-		f.gather(f.options.Self)
+// announce asks a peer to list this node.
+func (f *Follower) announce(ctx context.Context, peer string) {
+	if peer == f.options.Self.Name {
+		f.recordAnnouncement(true)
+		f.addPendingNode(f.options.Self)
 
 		return
 	}
@@ -75,74 +77,75 @@
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 
-	err := f.options.Peers.Call(ctx, gatherer, MethodAnnounce, f.options.Self, nil)
-	f.noteAnnouncement(err == nil)
+	err := f.options.Peers.Call(ctx, peer, MethodAnnounce, f.options.Self, nil)
+	f.recordAnnouncement(err == nil)
 
 	if err != nil {
-		f.options.Logger.Debug().Err(err).Str("peer", gatherer).Msg("announce_failed")
+		f.options.Logger.Debug().Err(err).Str("peer", peer).Msg("announce_failed")
 	}
 }
 
-func (f *Follower) noteAnnouncement(taken bool) {
+func (f *Follower) recordAnnouncement(accepted bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
-	if taken {
+	if accepted {
 		f.failedAnnouncements = 0
 	} else {
 		f.failedAnnouncements++
 	}
 }
 
-// HandleAnnounce answers MethodAnnounce. That the node is listed shows in the registry; it asks again until then.
+// HandleAnnounce answers MethodAnnounce. Success doesn't mean that the node is listed: it announces itself until it
+// finds itself in the registry.
 func (f *Follower) HandleAnnounce(_ context.Context, _ string, params json.RawMessage) (any, error) {
 	var node cataloguer.Node
 	if err := json.Unmarshal(params, &node); err != nil {
 		return nil, err
 	}
 
-	f.gather(node)
+	f.addPendingNode(node)
 
 	return struct{}{}, nil
 }
 
-// gather notes a node that is to be listed.
-func (f *Follower) gather(node cataloguer.Node) {
+// addPendingNode adds a node to the next batch.
+func (f *Follower) addPendingNode(node cataloguer.Node) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
-	if len(f.arrivals) == 0 {
-		f.gatheredSince = f.options.Catalog.Now()
+	if len(f.pendingNodes) == 0 {
+		f.pendingSince = f.options.Catalog.Now()
 	}
 
-	f.arrivals[node.Name] = node
+	f.pendingNodes[node.Name] = node
 }
 
-// takeArrivals returns the nodes to list now. Those that don't fit in one write come with the next.
-func (f *Follower) takeArrivals() []cataloguer.Node {
+// takePendingNodes returns the batch of nodes to list now. Nodes beyond the limit go into the next batch.
+func (f *Follower) takePendingNodes() []cataloguer.Node {
 	now := f.options.Catalog.Now()
 
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
-	if len(f.arrivals) == 0 || now-f.gatheredSince < gatherTime && len(f.arrivals) < mostArrivals {
+	if len(f.pendingNodes) == 0 || now-f.pendingSince < announceBatchDelay && len(f.pendingNodes) < maxAnnounceBatch {
 		return nil
 	}
 
-	names := slices.Sorted(maps.Keys(f.arrivals))
-	names = names[:min(len(names), mostArrivals)]
+	names := slices.Sorted(maps.Keys(f.pendingNodes))
+	names = names[:min(len(names), maxAnnounceBatch)]
 	nodes := make([]cataloguer.Node, 0, len(names))
 
 	for _, name := range names {
-		nodes = append(nodes, f.arrivals[name])
-		delete(f.arrivals, name)
+		nodes = append(nodes, f.pendingNodes[name])
+		delete(f.pendingNodes, name)
 	}
 
 	return nodes
 }
 
-// list writes nodes to the store. Those of a write that failed announce themselves again.
-func (f *Follower) list(ctx context.Context, nodes []cataloguer.Node) {
+// writeNodes lists nodes in the store. If the write fails, the nodes announce themselves again.
+func (f *Follower) writeNodes(ctx context.Context, nodes []cataloguer.Node) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 
@@ -157,17 +160,17 @@
 	f.options.Logger.Info().Int("nodes", len(nodes)).Str("first", nodes[0].Name).Msg("nodes_announced")
 }
 
-// takeWithdrawal returns the nodes that this node is to remove from the registry now. VMs are replaced
-// daily; entries of those that are gone would pile up, and each node would probe them for good. The first
-// node removes them. One that was removed although it lives lists itself again.
-func (f *Follower) takeWithdrawal(rank int) []string {
+// scheduleWithdrawal returns the nodes that this node should remove from the registry now. VMs are replaced daily;
+// entries of departed ones would accumulate, and each node would probe them forever. The root node removes them. A
+// live node that was removed announces itself again.
+func (f *Follower) scheduleWithdrawal(rank int) []string {
 	now := f.options.Catalog.Now()
 
 	f.mu.Lock()
-	due := rank == 0 && now-f.withdrawnAt >= withdrawInterval
+	due := rank == 0 && now-f.lastWithdrawalAt >= withdrawInterval
 
 	if due {
-		f.withdrawnAt = now
+		f.lastWithdrawalAt = now
 	}
 	f.mu.Unlock()
 
@@ -175,23 +178,23 @@
 		return nil
 	}
 
-	gone := f.options.DepartedNodes()
+	departed := f.options.DepartedNodes()
 	listed := f.options.Catalog.State().Registry.Nodes
 
-	return slices.DeleteFunc(gone, func(name string) bool {
+	return slices.DeleteFunc(departed, func(name string) bool {
 		return !slices.ContainsFunc(listed, func(n cataloguer.Node) bool { return n.Name == name })
 	})
 }
 
-func (f *Follower) withdraw(ctx context.Context, gone []string) {
+func (f *Follower) withdraw(ctx context.Context, names []string) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 
-	if err := f.options.Store.Withdraw(ctx, gone); err != nil {
-		f.options.Logger.Warn().Err(err).Strs("nodes", gone).Msg("withdraw_failed")
+	if err := f.options.Store.Withdraw(ctx, names); err != nil {
+		f.options.Logger.Warn().Err(err).Strs("nodes", names).Msg("withdraw_failed")
 
 		return
 	}
 
-	f.options.Logger.Info().Strs("nodes", gone).Msg("nodes_withdrawn")
+	f.options.Logger.Info().Strs("nodes", names).Msg("nodes_withdrawn")
 }
--- /dev/null
+++ b/internal/gateway/follower/applying.go
@@ -0,0 +1,120 @@
+package follower
+
+import (
+	"context"
+	"time"
+
+	"quincepath.example/quincepath/internal/gateway/cataloguer"
+)
+
+// applyPull applies a peer's response to a pull that was sent at startedAt. It reports whether more pages follow.
+func (f *Follower) applyPull(ctx context.Context, response pullResponse, startedAt time.Duration) (bool, error) {
+	catalog := f.options.Catalog
+	freshAt := startedAt - response.age()
+	more, changed := false, false
+
+	if response.Configuration != nil {
+		configuration, complete, err := f.unpackConfiguration(*response.Configuration)
+		if err != nil {
+			return false, err
+		}
+
+		if complete && catalog.ApplyConfiguration(configuration, freshAt) {
+			f.logConfiguration("peer", startedAt)
+
+			changed = true
+		}
+
+		more = !complete
+	}
+
+	catalog.MarkConfigurationFresh(response.Version, freshAt)
+
+	// A registry that is newer than the configuration would hide the changes between them from the next read of the
+	// store.
+	if catalog.State().Configuration.Version >= response.Version {
+		catalog.AdvanceRegistryRevision(response.Digest, response.Revision, response.RetainedUpstreams)
+
+		if response.Registry != nil {
+			registry, complete, err := f.unpackRegistry(*response.Registry)
+			if err != nil {
+				return false, err
+			}
+
+			// The payload may have been encoded at an earlier revision at which the peer's registry had the same
+			// content.
+			registry.Revision, registry.RetainedUpstreams = response.Revision, response.RetainedUpstreams
+
+			if complete && catalog.ApplyRegistry(registry, false) {
+				f.logRegistry("peer")
+
+				changed = true
+			}
+
+			more = more || !complete
+		}
+
+		if registryFreshAt, ok := response.registryFreshAt(freshAt); ok && catalog.State().Registry.Revision >= response.Revision {
+			catalog.MarkRegistryFresh(registryFreshAt)
+		}
+	}
+
+	if changed {
+		f.notifyChildren(ctx)
+	}
+
+	return more, nil
+}
+
+// unpackConfiguration adds a page and returns the configuration once it is complete.
+func (f *Follower) unpackConfiguration(page payloadPage) (cataloguer.Configuration, bool, error) {
+	payload, complete, err := f.assembler.Add(page.Page)
+	if err != nil || !complete {
+		return cataloguer.Configuration{}, false, err
+	}
+
+	if page.Base == 0 {
+		var configuration cataloguer.Configuration
+
+		return configuration, true, payload.Unpack(&configuration)
+	}
+
+	base := f.options.Catalog.State().Configuration
+	if uint64(base.Version) != page.Base {
+		// Another response was applied first; the next pull sends the new version.
+		return cataloguer.Configuration{}, false, nil
+	}
+
+	var delta cataloguer.ConfigurationDelta
+	if err := payload.Unpack(&delta); err != nil {
+		return cataloguer.Configuration{}, false, err
+	}
+
+	return delta.Apply(&base), true, nil
+}
+
+// unpackRegistry adds a page and returns the registry once it is complete.
+func (f *Follower) unpackRegistry(page payloadPage) (cataloguer.Registry, bool, error) {
+	payload, complete, err := f.assembler.Add(page.Page)
+	if err != nil || !complete {
+		return cataloguer.Registry{}, false, err
+	}
+
+	if page.Base == 0 {
+		var registry cataloguer.Registry
+
+		return registry, true, payload.Unpack(&registry)
+	}
+
+	state := f.options.Catalog.State()
+	if state.Digest != page.Base {
+		return cataloguer.Registry{}, false, nil
+	}
+
+	var delta cataloguer.RegistryDelta
+	if err := payload.Unpack(&delta); err != nil {
+		return cataloguer.Registry{}, false, err
+	}
+
+	return delta.Apply(&state.Registry), true, nil
+}
--- a/internal/gateway/follower/counters.go
+++ b/internal/gateway/follower/counters.go
@@ -1,20 +1,21 @@
 package follower
 
-// Counters are totals since the start, to tell from outside what keeping up to date costs and who pays for it.
+// Counters are totals since the start. They show what synchronisation costs and which nodes bear the cost.
 type Counters struct {
-	// StoreReads are reads of the store that were begun, each of one or two calls; FullReads are those of them that read all.
+	// StoreReads counts reads of the store that were started, each of one or two calls; FullReads counts those that
+	// read the whole content.
 	StoreReads int64 `json:"store_reads"`
 	FullReads  int64 `json:"whole_reads"`
-	// FailedReads are those that the store didn't answer or turned away.
+	// FailedReads counts reads that the store rejected or didn't answer.
 	FailedReads int64 `json:"failed_reads"`
-	// Handovers are nodes that this one asked to read the store, which refused it.
+	// Handovers counts requests to other nodes to read the store, which rejected this node.
 	Handovers int64 `json:"hand_overs"`
-	// AnnounceWrites are writes that listed nodes, whether they succeeded or not.
+	// AnnounceWrites counts writes that list nodes, whether they succeeded or not.
 	AnnounceWrites int64 `json:"listings"`
-	// Pulls are questions to peers; FailedPulls had no answer in time.
+	// Pulls counts pulls from peers; FailedPulls counts those that failed or timed out.
 	Pulls       int64 `json:"questions"`
 	FailedPulls int64 `json:"failed_questions"`
-	// Pages are pieces of configurations and registries that came from peers, PageBytes what they hold.
+	// Pages counts pages of configurations and registries received from peers, PageBytes their content.
 	Pages     int64 `json:"pages"`
 	PageBytes int64 `json:"page_bytes"`
 }
@@ -27,7 +28,7 @@
 	return f.counters
 }
 
-// count changes the totals.
+// count updates the totals.
 func (f *Follower) count(change func(*Counters)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/gateway/follower/follower.go
+++ b/internal/gateway/follower/follower.go
@@ -1,17 +1,14 @@
-// Package follower keeps a node's catalog up to date, from the platform's store
-// and from other nodes.
+// Package follower keeps a node's catalog up to date from the platform's store and from other nodes.
 //
-// All nodes stand in one tree that each computes from the live ones. The first
-// reads the store; each other node asks its parent, which answers with what
-// changed and with the age of its proof. When the first one can't read the store,
-// the next ones try in turn, the later the more nodes stand before them, and the
-// one that succeeds reads for all meanwhile. So the store gets as many calls from
-// 300 nodes as from nine, also while it is away, a node that it turns away still
-// learns all through its peers, and nobody has to be elected. A node that
-// reaches no peer reads for itself.
+// The nodes form a distribution tree that each node computes from the set of live nodes. The root reads the store;
+// each other node pulls from its parent, which returns what changed and the age of its state. If the root can't read
+// the store, the next nodes in order try in turn, each later than the one before it, and the one that succeeds reads
+// for all meanwhile. The store therefore gets as many calls from 300 nodes as from nine, also during an outage; a
+// node that the store rejects still gets all updates from its peers; and no election is needed. A node that reaches
+// no peer reads the store itself.
 //
-// A peer's answer counts from the moment at which it was asked for: an answer
-// that was held up on the way would else look fresher than it is.
+// A response counts as of the time at which the pull was sent. A response that was delayed in transit would otherwise
+// appear fresher than it is.
 package follower
 
 import (
@@ -30,36 +27,37 @@
 	"quincepath.example/quincepath/internal/quarantiner"
 )
 
-// tick is how often a node looks at what is due.
-const tick = 100 * time.Millisecond
+// tickInterval is how often a node checks for due work.
+const tickInterval = 100 * time.Millisecond
 
-// ErrHistoryCompacted says that the store doesn't know any more what changed since a revision.
-var ErrHistoryCompacted = errors.New("the store dropped that history")
+// ErrHistoryCompacted says that the store no longer has the changes since a revision.
+var ErrHistoryCompacted = errors.New("the store has compacted the requested history")
 
 // Store reads and writes the platform's store. Revision and Configuration are linearizable reads.
 type Store interface {
-	// Revision returns the store's revision, which each change moves. It is the cheapest read.
+	// Revision returns the store's revision, which increases with each change. It is the cheapest read.
 	Revision(ctx context.Context) (int64, error)
 	// Configuration returns the configuration in force, version 0 if there is none, and the store's revision.
 	Configuration(ctx context.Context) (cataloguer.Configuration, int64, error)
-	// Registry returns the upstreams, the nodes and the requests in quarantine.
+	// Registry returns the upstreams, the nodes and the quarantined requests.
 	Registry(ctx context.Context) (cataloguer.Registry, error)
-	// Changes returns what changed after a revision, or ErrHistoryCompacted. It may lack the newest changes.
+	// Changes returns the changes after a revision, or ErrHistoryCompacted. It may lack the newest changes.
 	Changes(ctx context.Context, after int64) (Changes, error)
-	// Announce lists nodes in the registry.
+	// Announce adds nodes to the registry.
 	Announce(ctx context.Context, nodes []cataloguer.Node) error
 	// Withdraw removes nodes from the registry.
 	Withdraw(ctx context.Context, names []string) error
 }
 
-// Changes are what was written to the store after some revision.
+// Changes holds what was written to the store after a revision.
 type Changes struct {
-	// Revision is that of the newest change among them; 0 if there is none.
+	// Revision is the revision of the newest change; 0 if there is none.
 	Revision int64
 	// Configuration is nil if it was not written.
 	Configuration *cataloguer.Configuration
-	// Upstreams, Nodes and Quarantined were written, those in RemovedUpstreams, by id, RemovedNodes, by name, and RemovedQuarantines, by the
-	// request's key, removed or overwritten by what can't be read. Nothing stands in both.
+	// Upstreams, Nodes and Quarantined are entries that were written. RemovedUpstreams (IDs), RemovedNodes (names)
+	// and RemovedQuarantines (request keys) are entries that were removed or overwritten with unreadable content. No
+	// entry is in both.
 	Upstreams          []cataloguer.Upstream
 	Nodes              []cataloguer.Node
 	Quarantined        []quarantiner.Quarantine
@@ -68,117 +66,120 @@
 	RemovedQuarantines []string
 }
 
-// Peers reaches other nodes.
+// Peers sends messages to other nodes.
 type Peers interface {
 	Call(ctx context.Context, peer, method string, params, result any) error
 	Notify(ctx context.Context, peer, method string, params any) error
 }
 
-// Options are the parts of a Follower; all are required.
+// Options configures a Follower; all fields are required.
 type Options struct {
 	Catalog *cataloguer.Catalog
 	Store   Store
 	Peers   Peers
-	// Self is how this node announces itself.
+	// Self is the entry with which this node announces itself.
 	Self cataloguer.Node
-	// Seeds are peers to ask while no others are known; they may be gone.
+	// Seeds returns peers to contact while no others are known; they may no longer exist.
 	Seeds func() []string
-	// LiveNodes returns the names of the nodes that answer, this one included, in any order.
+	// LiveNodes returns the names of the responsive nodes, including this one, in any order.
 	LiveNodes func() []string
-	// DepartedNodes returns the names of listed nodes that were not reached for so long that they won't come back.
+	// DepartedNodes returns the names of listed nodes that were unreachable for so long that they are not expected to
+	// return.
 	DepartedNodes func() []string
 	Logger        zerolog.Logger
 }
 
-// Follower feeds one catalog. It is safe for concurrent use.
+// Follower keeps one catalog up to date. It is safe for concurrent use.
 type Follower struct {
 	options Options
 	wake    chan struct{}
-	// startedAt is when the follower was made, by the catalog's clock.
-	startedAt time.Duration
-	parcels   *parcels
-	// pages holds the parcel that is coming in pages; only the one question under way uses it.
-	pages packer.Assembler
-	// stored is the registry as the store had it at the last read, without what the catalog keeps for lapsed entries; only the
-	// one read under way uses it. Its revision is 0 before the first.
-	stored cataloguer.Registry
+	// createdAt is when the follower was created, by the catalog's clock.
+	createdAt time.Duration
+	payloads  *payloadCache
+	// assembler holds the payload that is being received; it is used only by the one pull in progress.
+	assembler packer.Assembler
+	// storeRegistry is the registry as of the last read of the store, without expired entries that the catalog
+	// retains; it is used only by the one read in progress. Its revision is 0 before the first read.
+	storeRegistry cataloguer.Registry
 
 	mu sync.Mutex
-	// lastTree is over the nodes in lastLive and the registry with lastDigest. It isn't changed once made.
+	// lastTree is the tree for the nodes in lastLive and the registry with lastDigest. It is immutable.
 	lastTree   *tree
 	lastLive   []string
 	lastDigest uint64
 	counters   Counters
-	// random spreads nodes over time; its seed is the node's name.
+	// random adds jitter to spread nodes over time; its seed is the node's name.
 	random *rand.Rand
-	// readAt is when the last read of the store was begun, by the catalog's clock; negative before the first.
-	readAt time.Duration
-	// soundAt is when the last sound read of the store was begun; negative before the first.
-	soundAt time.Duration
-	// failedReads counts the reads that failed since the last sound one, or in the present outage.
+	// lastReadAt is when the last read of the store started, by the catalog's clock; negative before the first.
+	lastReadAt time.Duration
+	// lastGoodReadAt is when the last successful read of the store started; negative before the first.
+	lastGoodReadAt time.Duration
+	// failedReads counts the failed reads since the last successful one, or in the current outage.
 	failedReads int
-	// substitute says that this node reads in the place of the first one.
-	substitute bool
-	// reader is the node that read the newest proof from the store, at provenAt.
-	reader   string
-	provenAt time.Duration
-	// heardAt is when the last question that a peer answered was begun; negative before the first.
-	heardAt time.Duration
-	// askedAt is when the last question to a peer was begun.
-	askedAt time.Duration
-	// failedAsks counts the questions to askedPeer that failed since it last answered.
-	failedAsks int
-	askedPeer  string
-	// announcedAt is when this node last tried to list itself.
-	announcedAt time.Duration
-	// failedAnnouncements counts the tries that reached nobody since the last that did.
+	// isSubstitute says that this node reads the store in place of the root.
+	isSubstitute bool
+	// reader is the node that read the freshest known state from the store, at freshAt.
+	reader  string
+	freshAt time.Duration
+	// lastAnsweredPullAt is when the last pull that a peer answered was sent; negative before the first.
+	lastAnsweredPullAt time.Duration
+	// lastPullAt is when the last pull was sent.
+	lastPullAt time.Duration
+	// failedPulls counts the pulls from lastPulledPeer that failed since it last answered.
+	failedPulls    int
+	lastPulledPeer string
+	// lastAnnouncementAt is when this node last tried to list itself.
+	lastAnnouncementAt time.Duration
+	// failedAnnouncements counts the announcements that failed since the last successful one.
 	failedAnnouncements int
-	// arrivals are nodes that this one is to list, by their names; the first came at gatheredSince.
-	arrivals      map[string]cataloguer.Node
-	gatheredSince time.Duration
-	// withdrawnAt is when this node last looked for nodes that are gone.
-	withdrawnAt time.Duration
-	// fresh is the peer that answered last with a fresh proof; empty if none did.
-	fresh string
-	// turn counts the questions of a stale node, so that it asks all others one after the other.
-	turn int
-	// teller is a node that said to have something new and was not asked yet.
-	teller string
-	// askedToReadAt is when a node that the store refuses asked this one to try; negative before the first did.
-	askedToReadAt time.Duration
-	// reading and asking say that a read or a question is under way.
-	reading, asking bool
-	// storeLost says that the last read of the store failed; it keeps the log at one line for each change.
-	storeLost bool
+	// pendingNodes maps names to the nodes that this one is to list; the first was added at pendingSince.
+	pendingNodes map[string]cataloguer.Node
+	pendingSince time.Duration
+	// lastWithdrawalAt is when this node last checked for departed nodes.
+	lastWithdrawalAt time.Duration
+	// freshPeer is the peer that last answered with a fresh state; empty if there is none.
+	freshPeer string
+	// stalePulls counts the pulls made while stale; it rotates them through all other nodes.
+	stalePulls int
+	// nextPeer is the peer to pull from next, such as one that notified this node of a change; empty if there is
+	// none.
+	nextPeer string
+	// handoverRequestedAt is when a node that the store rejects last asked this one to read it; negative before the
+	// first request.
+	handoverRequestedAt time.Duration
+	// reading and pulling say that a read or a pull is in progress.
+	reading, pulling bool
+	// storeUnavailable says that the last read of the store failed; it limits the log to one line per transition.
+	storeUnavailable bool
 }
 
-// New returns a follower that has asked nobody yet.
+// New returns a follower that has not contacted the store or any peer.
 func New(options Options) *Follower {
 	return &Follower{
-		options:       options,
-		wake:          make(chan struct{}, 1),
-		startedAt:     options.Catalog.Now(),
-		random:        rand.New(rand.NewPCG(xxhash.Sum64String(options.Self.Name), 0)),
-		parcels:       newParcels(options.Catalog),
-		arrivals:      make(map[string]cataloguer.Node),
-		readAt:        -time.Hour,
-		soundAt:       -time.Hour,
-		provenAt:      -time.Hour,
-		heardAt:       -time.Hour,
-		askedAt:       -time.Hour,
-		askedToReadAt: -time.Hour,
-		announcedAt:   -time.Hour,
-		withdrawnAt:   -time.Hour,
+		options:             options,
+		wake:                make(chan struct{}, 1),
+		createdAt:           options.Catalog.Now(),
+		random:              rand.New(rand.NewPCG(xxhash.Sum64String(options.Self.Name), 0)),
+		payloads:            newPayloadCache(options.Catalog),
+		pendingNodes:        make(map[string]cataloguer.Node),
+		lastReadAt:          -time.Hour,
+		lastGoodReadAt:      -time.Hour,
+		freshAt:             -time.Hour,
+		lastAnsweredPullAt:  -time.Hour,
+		lastPullAt:          -time.Hour,
+		handoverRequestedAt: -time.Hour,
+		lastAnnouncementAt:  -time.Hour,
+		lastWithdrawalAt:    -time.Hour,
 	}
 }
 
-// Run follows until ctx ends.
+// Run keeps the catalog up to date until ctx is done.
 func (f *Follower) Run(ctx context.Context) {
-	ticker := time.NewTicker(tick)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 
 	for {
-		f.step(ctx)
+		f.startDueWork(ctx)
 
 		select {
 		case <-ctx.Done():
@@ -189,32 +190,33 @@
 	}
 }
 
-// step begins what is due. Reads and questions run beside it, so that one that hangs delays no other.
-func (f *Follower) step(ctx context.Context) {
+// startDueWork starts what is due. Each operation has its own goroutine, so that one that hangs doesn't delay the
+// others.
+func (f *Follower) startDueWork(ctx context.Context) {
 	t := f.tree()
 
-	if timeout, ok := f.takeRead(t); ok {
+	if timeout, ok := f.scheduleRead(t); ok {
 		go f.read(ctx, timeout)
 	}
 
-	if q, ok := f.takeQuestion(t); ok {
-		go f.ask(ctx, q)
+	if p, ok := f.schedulePull(t); ok {
+		go f.pull(ctx, p)
 	}
 
-	if gatherer, ok := f.takeAnnouncement(t); ok {
-		go f.announce(ctx, gatherer)
+	if peer, ok := f.scheduleAnnouncement(t); ok {
+		go f.announce(ctx, peer)
 	}
 
-	if nodes := f.takeArrivals(); len(nodes) > 0 {
-		go f.list(ctx, nodes)
+	if nodes := f.takePendingNodes(); len(nodes) > 0 {
+		go f.writeNodes(ctx, nodes)
 	}
 
-	if gone := f.takeWithdrawal(t.rank); len(gone) > 0 {
-		go f.withdraw(ctx, gone)
+	if departed := f.scheduleWithdrawal(t.rank); len(departed) > 0 {
+		go f.withdraw(ctx, departed)
 	}
 }
 
-// tree returns the tree over the nodes that live now. It is made anew only when these or the registry change: it takes
+// tree returns the tree of the live nodes. It is rebuilt only when these or the registry change: building it takes
 // 0.1 ms of a core for 300 nodes, ten times a second.
 func (f *Follower) tree() *tree {
 	live := f.options.LiveNodes()
@@ -231,17 +233,17 @@
 	return f.lastTree
 }
 
-// age is how old the proof is; before the first one, how long the node waits for it.
+// age returns the age of the configuration, or the time since the follower was created if there is none yet.
 func (f *Follower) age() time.Duration {
 	if age, known := f.options.Catalog.ConfigurationAge(); known {
 		return age
 	}
 
-	return f.options.Catalog.Now() - f.startedAt
+	return f.options.Catalog.Now() - f.createdAt
 }
 
-// wakeUp makes the next step due at once.
-func (f *Follower) wakeUp() {
+// wakeLoop makes Run check for due work at once.
+func (f *Follower) wakeLoop() {
 	select {
 	case f.wake <- struct{}{}:
 	default:
--- a/internal/gateway/follower/follower_test.go
+++ b/internal/gateway/follower/follower_test.go
@@ -21,44 +21,44 @@
 	"quincepath.example/quincepath/internal/sleeper"
 )
 
-var errAway = errors.New("away")
+var errUnavailable = errors.New("away")
 
-// fleet is a store and some nodes with faults between them.
+// fleet simulates a store and nodes with faults between them.
 type fleet struct {
 	mu       sync.Mutex
 	version  int64
 	revision int64
-	// routes and organisations are those of the configuration in force.
+	// routes and organisations are part of the configuration in force.
 	routes        []cataloguer.Route
 	organisations []cataloguer.Organisation
 	nodes         []cataloguer.Node
-	ids           []string
+	upstreamIDs   []string
 	reads         int
-	// calls counts those to the store that are no reads too.
+	// calls counts all calls to the store, including writes.
 	calls int
-	// lastReader is the node that made the last of them.
+	// lastReader is the node that made the last call.
 	lastReader string
-	// formerIDs and formerNodes were listed once.
-	formerIDs, formerNodes map[string]bool
-	// history is the revision from which on changes are known; hidden says that they aren't told for now.
-	history int64
-	hidden  bool
-	// silent delays each call to the store until its caller gives up.
-	silent bool
-	// turnedAway are the nodes that the store refuses; all while down.
-	turnedAway map[string]bool
-	down       bool
-	// held delays each answer between nodes.
-	held  time.Duration
-	parts map[string]*member
-	// dead are the nodes that all others take for gone.
-	dead []string
-	// listed holds how nodes announce themselves, where that is more than their name.
-	listed map[string]cataloguer.Node
-	// sent is the number of bytes that nodes answered each other; crossing those between failure domains.
-	sent, crossing int
-	// perMS is the bandwidth of each node's link in bytes for a millisecond; 0 means that it isn't bound.
-	perMS float64
+	// pastUpstreamIDs and pastNodes were listed at some time.
+	pastUpstreamIDs, pastNodes map[string]bool
+	// oldestRevision is the revision from which changes are available; changesHidden makes the list of changes empty.
+	oldestRevision int64
+	changesHidden  bool
+	// unresponsive makes each call to the store hang until its caller gives up.
+	unresponsive bool
+	// rejected holds the nodes that the store rejects; while down, it rejects all.
+	rejected map[string]bool
+	down     bool
+	// callDelay delays each response between nodes.
+	callDelay time.Duration
+	members   map[string]*member
+	// departedNodes are reported as departed to all nodes.
+	departedNodes []string
+	// nodeInfo holds the announced entries of nodes that announce more than their name.
+	nodeInfo map[string]cataloguer.Node
+	// sentBytes counts the bytes of responses between nodes; crossDomainBytes those between failure domains.
+	sentBytes, crossDomainBytes int
+	// linkBytesPerMS is the bandwidth of each node's link in bytes per millisecond; 0 means unlimited.
+	linkBytesPerMS float64
 }
 
 type member struct {
@@ -67,16 +67,16 @@
 	catalog  *cataloguer.Catalog
 	follower *follower.Follower
 	stop     context.CancelFunc
-	// linkFree is when the node's link has sent all that waits there.
-	linkFree time.Time
+	// linkFreeAt is when the node's link has sent all queued bytes.
+	linkFreeAt time.Time
 }
 
 func newFleet(t *testing.T, count int) *fleet {
 	t.Helper()
 
 	f := &fleet{
-		version: 1, revision: 1, ids: []string{"a"}, turnedAway: map[string]bool{}, parts: map[string]*member{},
-		formerIDs: map[string]bool{}, formerNodes: map[string]bool{}, listed: map[string]cataloguer.Node{},
+		version: 1, revision: 1, upstreamIDs: []string{"a"}, rejected: map[string]bool{}, members: map[string]*member{},
+		pastUpstreamIDs: map[string]bool{}, pastNodes: map[string]bool{}, nodeInfo: map[string]cataloguer.Node{},
 	}
 	for i := range count {
 		f.start(t, fmt.Sprint("n", i), nil)
@@ -88,17 +88,17 @@
 func (f *fleet) start(t *testing.T, name string, seeds []string) *member {
 	t.Helper()
 
-	begun := time.Now()
+	startedAt := time.Now()
 	ctx, stop := context.WithCancel(t.Context())
 	m := &member{fleet: f, name: name, stop: stop}
-	m.catalog = cataloguer.New(func() time.Duration { return time.Hour + time.Since(begun) })
+	m.catalog = cataloguer.New(func() time.Duration { return time.Hour + time.Since(startedAt) })
 	m.follower = follower.New(follower.Options{
-		Catalog: m.catalog, Store: m, Peers: m, Self: f.self(name),
-		Seeds: func() []string { return seeds }, LiveNodes: m.live, DepartedNodes: f.gone, Logger: zerolog.Nop(),
+		Catalog: m.catalog, Store: m, Peers: m, Self: f.node(name),
+		Seeds: func() []string { return seeds }, LiveNodes: m.live, DepartedNodes: f.departed, Logger: zerolog.Nop(),
 	})
 
 	f.mu.Lock()
-	f.parts[name] = m
+	f.members[name] = m
 	f.mu.Unlock()
 
 	go m.follower.Run(ctx)
@@ -106,18 +106,18 @@
 	return m
 }
 
-func (f *fleet) self(name string) cataloguer.Node {
+func (f *fleet) node(name string) cataloguer.Node {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
-	if node, ok := f.listed[name]; ok {
+	if node, ok := f.nodeInfo[name]; ok {
 		return node
 	}
 
 	return cataloguer.Node{Name: name}
 }
 
-// live returns the node itself and those running ones that it knows.
+// live returns the node itself and the running nodes that it knows.
 func (m *member) live() []string {
 	names := []string{m.name}
 
@@ -125,7 +125,7 @@
 	defer m.fleet.mu.Unlock()
 
 	for _, node := range m.catalog.State().Registry.Nodes {
-		if m.fleet.parts[node.Name] != nil && node.Name != m.name {
+		if m.fleet.members[node.Name] != nil && node.Name != m.name {
 			names = append(names, node.Name)
 		}
 	}
@@ -133,53 +133,53 @@
 	return names
 }
 
-func (f *fleet) gone() []string {
+func (f *fleet) departed() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
-	return slices.Clone(f.dead)
+	return slices.Clone(f.departedNodes)
 }
 
-func (f *fleet) change(do func()) {
+func (f *fleet) update(apply func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
-	for _, id := range f.ids {
-		f.formerIDs[id] = true
+	for _, id := range f.upstreamIDs {
+		f.pastUpstreamIDs[id] = true
 	}
 
 	for _, node := range f.nodes {
-		f.formerNodes[node.Name] = true
+		f.pastNodes[node.Name] = true
 	}
 
 	f.revision++
-	do()
+	apply()
 }
 
-func (f *fleet) end() {
-	for _, m := range f.parts {
+func (f *fleet) stop() {
+	for _, m := range f.members {
 		m.stop()
 	}
 }
 
-// names returns the nodes; f.mu is held.
+// names returns the node names. f.mu must be held.
 func (f *fleet) names() iter.Seq[string] {
-	return maps.Keys(f.parts)
+	return maps.Keys(f.members)
 }
 
-// reader returns the node that read the store last; f.mu is held.
+// reader returns the node that last called the store. f.mu must be held.
 func (f *fleet) reader() string {
 	return f.lastReader
 }
 
-// slowest is how long it takes until all nodes fulfil the condition.
-func (f *fleet) slowest(fulfilled func(*cataloguer.State) bool) time.Duration {
-	begun := time.Now()
+// timeUntilAll returns the time until all nodes satisfy the condition, at most 20 s.
+func (f *fleet) timeUntilAll(condition func(*cataloguer.State) bool) time.Duration {
+	startedAt := time.Now()
 
-	for time.Since(begun) < 20*time.Second {
+	for time.Since(startedAt) < 20*time.Second {
 		all := true
-		for _, m := range f.parts {
-			all = all && fulfilled(m.catalog.State())
+		for _, m := range f.members {
+			all = all && condition(m.catalog.State())
 		}
 
 		if all {
@@ -189,17 +189,17 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 
-	return time.Since(begun)
+	return time.Since(startedAt)
 }
 
-func (f *fleet) countReads() int {
+func (f *fleet) readCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
 	return f.reads
 }
 
-func (m *member) read(ctx context.Context) error {
+func (m *member) callStore(ctx context.Context) error {
 	if !sleeper.Sleep(ctx, 4*time.Millisecond) {
 		return ctx.Err()
 	}
@@ -211,7 +211,7 @@
 	m.fleet.calls++
 	m.fleet.lastReader = m.name
 
-	if m.fleet.silent {
+	if m.fleet.unresponsive {
 		m.fleet.mu.Unlock()
 		<-ctx.Done()
 		m.fleet.mu.Lock()
@@ -219,15 +219,15 @@
 		return ctx.Err()
 	}
 
-	if m.fleet.down || m.fleet.turnedAway[m.name] {
-		return errAway
+	if m.fleet.down || m.fleet.rejected[m.name] {
+		return errUnavailable
 	}
 
 	return nil
 }
 
 func (m *member) Revision(ctx context.Context) (int64, error) {
-	if err := m.read(ctx); err != nil {
+	if err := m.callStore(ctx); err != nil {
 		return 0, err
 	}
 
@@ -238,40 +238,40 @@
 }
 
 func (m *member) Changes(ctx context.Context, after int64) (follower.Changes, error) {
-	if err := m.read(ctx); err != nil {
+	if err := m.callStore(ctx); err != nil {
 		return follower.Changes{}, err
 	}
 
 	m.fleet.mu.Lock()
 	defer m.fleet.mu.Unlock()
 
-	if after < m.fleet.history {
+	if after < m.fleet.oldestRevision {
 		return follower.Changes{}, follower.ErrHistoryCompacted
 	}
 
-	if m.fleet.hidden {
+	if m.fleet.changesHidden {
 		return follower.Changes{}, nil
 	}
 
 	return m.fleet.changesLocked(), nil
 }
 
-// changesLocked tells all that is there as written and all that was there as removed; f.mu is held.
+// changesLocked reports all current entries as written and all past ones as removed. f.mu must be held.
 func (f *fleet) changesLocked() follower.Changes {
 	configuration := f.configurationLocked()
 	changes := follower.Changes{Revision: f.revision, Configuration: &configuration, Nodes: slices.Clone(f.nodes)}
 
-	for _, id := range f.ids {
+	for _, id := range f.upstreamIDs {
 		changes.Upstreams = append(changes.Upstreams, cataloguer.Upstream{ID: id})
 	}
 
-	for id := range f.formerIDs {
-		if !slices.Contains(f.ids, id) {
+	for id := range f.pastUpstreamIDs {
+		if !slices.Contains(f.upstreamIDs, id) {
 			changes.RemovedUpstreams = append(changes.RemovedUpstreams, id)
 		}
 	}
 
-	for name := range f.formerNodes {
+	for name := range f.pastNodes {
 		if !slices.ContainsFunc(f.nodes, func(n cataloguer.Node) bool { return n.Name == name }) {
 			changes.RemovedNodes = append(changes.RemovedNodes, name)
 		}
@@ -280,13 +280,13 @@
 	return changes
 }
 
-// configurationLocked returns the configuration in force; f.mu is held.
+// configurationLocked returns the configuration in force. f.mu must be held.
 func (f *fleet) configurationLocked() cataloguer.Configuration {
 	return cataloguer.Configuration{Version: f.version, Routes: f.routes, Organisations: f.organisations}
 }
 
 func (m *member) Configuration(ctx context.Context) (cataloguer.Configuration, int64, error) {
-	if err := m.read(ctx); err != nil {
+	if err := m.callStore(ctx); err != nil {
 		return cataloguer.Configuration{}, 0, err
 	}
 
@@ -297,7 +297,7 @@
 }
 
 func (m *member) Registry(ctx context.Context) (cataloguer.Registry, error) {
-	if err := m.read(ctx); err != nil {
+	if err := m.callStore(ctx); err != nil {
 		return cataloguer.Registry{}, err
 	}
 
@@ -305,7 +305,7 @@
 	defer m.fleet.mu.Unlock()
 
 	registry := cataloguer.Registry{Revision: m.fleet.revision, Nodes: slices.Clone(m.fleet.nodes)}
-	for _, id := range m.fleet.ids {
+	for _, id := range m.fleet.upstreamIDs {
 		registry.Upstreams = append(registry.Upstreams, cataloguer.Upstream{ID: id})
 	}
 
@@ -313,11 +313,11 @@
 }
 
 func (m *member) Announce(ctx context.Context, nodes []cataloguer.Node) error {
-	if err := m.read(ctx); err != nil {
+	if err := m.callStore(ctx); err != nil {
 		return err
 	}
 
-	m.fleet.change(func() {
+	m.fleet.update(func() {
 		for _, node := range nodes {
 			if !slices.Contains(m.fleet.nodes, node) {
 				m.fleet.nodes = append(m.fleet.nodes, node)
@@ -329,11 +329,11 @@
 }
 
 func (m *member) Withdraw(ctx context.Context, names []string) error {
-	if err := m.read(ctx); err != nil {
+	if err := m.callStore(ctx); err != nil {
 		return err
 	}
 
-	m.fleet.change(func() {
+	m.fleet.update(func() {
 		m.fleet.nodes = slices.DeleteFunc(m.fleet.nodes, func(n cataloguer.Node) bool { return slices.Contains(names, n.Name) })
 	})
 
@@ -342,11 +342,11 @@
 
 func (m *member) Call(ctx context.Context, peer, method string, params, result any) error {
 	m.fleet.mu.Lock()
-	other, held := m.fleet.parts[peer], m.fleet.held
+	other, held := m.fleet.members[peer], m.fleet.callDelay
 	m.fleet.mu.Unlock()
 
 	if other == nil {
-		return errAway
+		return errUnavailable
 	}
 
 	data, err := json.Marshal(params)
@@ -371,7 +371,7 @@
 		return err
 	}
 
-	if !sleeper.Sleep(ctx, time.Millisecond+held+m.transfer(other, len(data))) {
+	if !sleeper.Sleep(ctx, time.Millisecond+held+m.transferTime(other, len(data))) {
 		return ctx.Err()
 	}
 
@@ -382,29 +382,29 @@
 	return json.Unmarshal(data, result)
 }
 
-// transfer counts an answer and returns how long it takes on the link of the node that sends it, which carries one
-// after the other.
-func (m *member) transfer(from *member, bytes int) time.Duration {
+// transferTime counts a response and returns its transfer time on the sender's link, which sends responses one after
+// the other.
+func (m *member) transferTime(from *member, bytes int) time.Duration {
 	m.fleet.mu.Lock()
 	defer m.fleet.mu.Unlock()
 
-	m.fleet.sent += bytes
-	if m.fleet.listed[m.name].FailureDomain != m.fleet.listed[from.name].FailureDomain {
-		m.fleet.crossing += bytes
+	m.fleet.sentBytes += bytes
+	if m.fleet.nodeInfo[m.name].FailureDomain != m.fleet.nodeInfo[from.name].FailureDomain {
+		m.fleet.crossDomainBytes += bytes
 	}
 
-	if m.fleet.perMS == 0 {
+	if m.fleet.linkBytesPerMS == 0 {
 		return 0
 	}
 
 	now := time.Now()
-	if from.linkFree.Before(now) {
-		from.linkFree = now
+	if from.linkFreeAt.Before(now) {
+		from.linkFreeAt = now
 	}
 
-	from.linkFree = from.linkFree.Add(time.Duration(float64(bytes) / m.fleet.perMS * float64(time.Millisecond)))
+	from.linkFreeAt = from.linkFreeAt.Add(time.Duration(float64(bytes) / m.fleet.linkBytesPerMS * float64(time.Millisecond)))
 
-	return from.linkFree.Sub(now)
+	return from.linkFreeAt.Sub(now)
 }
 
 func (m *member) Notify(ctx context.Context, peer, method string, params any) error {
@@ -418,7 +418,7 @@
 func TestOneNodeReadsForAll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 9)
-		defer f.end()
+		defer f.stop()
 
 		time.Sleep(10 * time.Second)
 		f.mu.Lock()
@@ -428,7 +428,7 @@
 
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		// One node every 0.6 s, one call as long as nothing changes.
+		// One node reads every 0.6 s, with one call as long as nothing changes.
 		assert.Assert(t, f.reads <= 105, "%d reads in a minute", f.reads)
 		assert.Equal(t, len(f.nodes), 9)
 	})
@@ -438,59 +438,57 @@
 	for _, count := range []int{9, 88, 370} {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet(t, count)
-			defer f.end()
+			defer f.stop()
 
 			time.Sleep(15 * time.Second)
-			f.change(func() { f.version = 7 })
-			took := f.slowest(hasVersion(7))
+			f.update(func() { f.version = 7 })
+			took := f.timeUntilAll(hasVersion(7))
 			assert.Assert(t, took < 1200*time.Millisecond, "%d nodes: %v", count, took)
 		})
 	}
 }
 
-// Symptom: an upstream gets requests two seconds after it told that it leaves.
-// Sequence: the store turns the node away that reads for all; an upstream leaves.
-// Cause: the others waited long before they read themselves, and told nobody but those below them.
+// The store rejects the root, and then an upstream leaves. If other nodes wait long before they read the store, or
+// notify only their children, the upstream gets requests two seconds after it announced that it leaves.
 func TestReaderThatIsTurnedAwayIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 9)
-		defer f.end()
+		defer f.stop()
 
 		time.Sleep(15 * time.Second)
-		f.change(func() { f.turnedAway[f.firstLocked()] = true })
+		f.update(func() { f.rejected[f.firstNodeLocked()] = true })
 		time.Sleep(5 * time.Second)
 
 		for i := range 20 {
-			f.change(func() { f.ids = []string{fmt.Sprint("u", i)} })
-			took := f.slowest(func(s *cataloguer.State) bool { return s.Registry.Upstreams[0].ID == fmt.Sprint("u", i) })
+			f.update(func() { f.upstreamIDs = []string{fmt.Sprint("u", i)} })
+			took := f.timeUntilAll(func(s *cataloguer.State) bool { return s.Registry.Upstreams[0].ID == fmt.Sprint("u", i) })
 			assert.Assert(t, took < 1700*time.Millisecond, "change %d: %v", i, took)
 			time.Sleep(130 * time.Millisecond)
 		}
 	})
 }
 
-// firstLocked is the node that reads the store; f.mu is held.
-func (f *fleet) firstLocked() string {
+// firstNodeLocked returns the root, which reads the store. f.mu must be held.
+func (f *fleet) firstNodeLocked() string {
 	names := []string{}
-	for name := range f.parts {
+	for name := range f.members {
 		names = append(names, name)
 	}
 
 	return follower.SortByHash(names)[0]
 }
 
-// Symptom: nodes that the store turns away refuse all keys.
-// Sequence: the store serves one node of nine.
-// Cause: only own reads counted as proof.
+// The store serves one node of nine. If only a node's own reads count for its freshness, the nodes that the store
+// rejects refuse all keys.
 func TestNodesLearnThroughTheOneThatReachesTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 9)
-		defer f.end()
+		defer f.stop()
 
 		time.Sleep(15 * time.Second)
-		f.change(func() {
-			for name := range f.parts {
-				f.turnedAway[name] = name != "n5"
+		f.update(func() {
+			for name := range f.members {
+				f.rejected[name] = name != "n5"
 			}
 		})
 		time.Sleep(3 * time.Second)
@@ -498,41 +496,40 @@
 		for range 50 {
 			time.Sleep(200 * time.Millisecond)
 
-			for name, m := range f.parts {
+			for name, m := range f.members {
 				age, known := m.catalog.ConfigurationAge()
-				assert.Assert(t, known && age < 4*time.Second, "%s knows what was true %v ago", name, age)
+				assert.Assert(t, known && age < 4*time.Second, "%s has a configuration age of %v", name, age)
 			}
 		}
 	})
 }
 
-// Symptom: a key is honoured for longer than two seconds after its end.
-// Sequence: the store turns all of nine nodes away but one; a key is taken away at that moment.
-// Cause: nodes far behind the first one in the order waited for so long before they tried the store.
+// The store rejects all of nine nodes but one, and a key is revoked at that moment. If nodes far behind the root in
+// the order wait too long before they try the store, the key is accepted for longer than two seconds.
 func TestAnyOneOfNineHearsOfChangesInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 9)
-		defer f.end()
+		defer f.stop()
 
 		for i := range 9 {
-			f.change(func() { clear(f.turnedAway) })
+			f.update(func() { clear(f.rejected) })
 			time.Sleep(10*time.Second + time.Duration(i)*70*time.Millisecond)
-			f.change(func() {
-				for name := range f.parts {
-					f.turnedAway[name] = name != fmt.Sprint("n", i)
+			f.update(func() {
+				for name := range f.members {
+					f.rejected[name] = name != fmt.Sprint("n", i)
 				}
 
 				f.version++
 			})
 
-			took := f.slowest(hasVersion(f.version))
+			took := f.timeUntilAll(hasVersion(f.version))
 			assert.Assert(t, took < 1900*time.Millisecond, "n%d: %v", i, took)
 		}
 	})
 }
 
-// Guards against: a key is honoured for longer than three seconds after its end, where the store turns most of many nodes away
-// and those that it serves stand far behind the first one.
+// The store rejects most of many nodes, and those that it serves are far behind the root in the order. A revoked key
+// must not be accepted for longer than three seconds.
 func TestAnyEighthOfManyHearsOfChangesInTime(t *testing.T) {
 	const (
 		nodes = 65
@@ -541,112 +538,113 @@
 
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, nodes)
-		defer f.end()
+		defer f.stop()
 
 		for i := range part {
-			f.change(func() { clear(f.turnedAway) })
+			f.update(func() { clear(f.rejected) })
 			time.Sleep(15*time.Second + time.Duration(i)*70*time.Millisecond)
-			f.change(func() {
+			f.update(func() {
 				for j := range nodes {
-					f.turnedAway[fmt.Sprint("n", j)] = j%part != i
+					f.rejected[fmt.Sprint("n", j)] = j%part != i
 				}
 
 				f.version++
 			})
 
-			took := f.slowest(hasVersion(f.version))
+			took := f.timeUntilAll(hasVersion(f.version))
 			assert.Check(t, took < 3*time.Second, "every %dth from n%d: %v", part, i, took)
 		}
 	})
 }
 
-// Symptom: routes are refused that have been there for over two seconds, and keys honoured that are gone.
-// Sequence: the store is away for some seconds; it is back for two, in which operators write; then it turns all nodes away but one.
-// Cause: all nodes had failed at nearly the same moment and waited for equally long, so nobody noticed the return.
+// The store is away for some seconds, returns for two seconds in which operators write, and then rejects all nodes
+// but one. If all nodes failed at nearly the same moment and wait equally long, none notices the return: new routes
+// are refused, and revoked keys accepted, for over two seconds.
 func TestReturnOfTheStoreIsNoticedInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 9)
-		defer f.end()
+		defer f.stop()
 
 		for i := range 20 {
 			time.Sleep(10 * time.Second)
-			f.change(func() { f.down = true })
+			f.update(func() { f.down = true })
 			time.Sleep(4*time.Second + time.Duration(i)*250*time.Millisecond)
-			f.change(func() { f.down = false; f.version++ })
+			f.update(func() { f.down = false; f.version++ })
 
-			took := f.slowest(hasVersion(f.version))
+			took := f.timeUntilAll(hasVersion(f.version))
 			assert.Assert(t, took < 1300*time.Millisecond, "outage %d: %v", i, took)
 		}
 	})
 }
 
-// Symptom: the store returns and nobody notices for 1.3 s, but only from the second outage on.
-// Sequence: the store is away twice; a node that reads only while others can't fails in both.
-// Cause: such a node counted the failed reads of the first outage on, since it had no sound read of its own between
-// them. With more than one failed read all nodes wait equally long, so their reads came in one cluster each 1.8 s.
+// The store is away twice, and a node that reads only while others can't fails in both outages. It had no successful
+// read between them, so it counted the failed reads of the first outage in the second. With more than one failed read
+// all nodes wait equally long: their reads came in one cluster every 1.8 s, and the store's return went unnoticed for
+// 1.3 s from the second outage on.
 func TestTurnsAreTakenInEachOutage(t *testing.T) {
-	// longestPause is the 0.6 s of a turn, and the 0.5 s over which the first tries of all are spread.
+	// longestPause is one retry slot of 0.6 s plus the 0.5 s over which the first reads of all nodes are spread.
 	const longestPause = 1100 * time.Millisecond
 
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 9)
-		defer f.end()
+		defer f.stop()
 
 		for outage := range 20 {
 			time.Sleep(10*time.Second + time.Duration(outage)*130*time.Millisecond)
-			f.change(func() { f.down = true })
-			// By then all have tried once.
+			f.update(func() { f.down = true })
+			// By then all nodes have tried once.
 			time.Sleep(2500 * time.Millisecond)
 
-			last, reads := time.Now(), f.countReads()
+			last, reads := time.Now(), f.readCount()
 
 			for range 800 {
 				time.Sleep(10 * time.Millisecond)
 
-				if now := f.countReads(); now != reads {
+				if now := f.readCount(); now != reads {
 					last, reads = time.Now(), now
 				}
 
 				assert.Assert(t, time.Since(last) < longestPause, "outage %d", outage)
 			}
 
-			f.change(func() { f.down = false })
+			f.update(func() { f.down = false })
 		}
 	})
 }
 
-// Symptom: a node goes on sending to an upstream that left, though its parent knows.
-// Sequence: an upstream leaves, comes back the same, and leaves again; a child misses the first time and hears of the second.
-// Cause: the parent's encoded change bore the revision of the first time, so the child took it for an older registry than its own.
+// An upstream leaves, returns unchanged, and leaves again; a child misses the first departure and is notified of the
+// second. If the parent's cached delta carries the revision of the first departure, the child ignores it as older
+// than its own registry, and keeps sending to the upstream.
 func TestRegistryThatIsTheSameAgainIsTakenIn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 3)
-		defer f.end()
+		defer f.stop()
 
 		time.Sleep(10 * time.Second)
 
 		for i := range 12 {
-			f.change(func() { f.ids = []string{"a", "b"}[:1+i%2] })
-			want := len(f.ids)
-			took := f.slowest(func(s *cataloguer.State) bool { return len(s.Registry.Upstreams) == want })
+			f.update(func() { f.upstreamIDs = []string{"a", "b"}[:1+i%2] })
+			want := len(f.upstreamIDs)
+			took := f.timeUntilAll(func(s *cataloguer.State) bool { return len(s.Registry.Upstreams) == want })
 			assert.Assert(t, took < 1700*time.Millisecond, "change %d: %v", i, took)
 			time.Sleep(time.Duration(i) * 90 * time.Millisecond)
 		}
 	})
 }
 
-// The parent's answers, with the change encoded at an earlier time at which its registry held the same.
+// The parent answers with a delta that was encoded at an earlier revision, at which its registry had the same
+// content.
 func TestChangeBearsTheRevisionOfTheAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		now := func() time.Duration { return time.Hour }
 		parent, child := cataloguer.New(now), cataloguer.New(now)
-		alone := &fleet{version: 1, parts: map[string]*member{}, turnedAway: map[string]bool{}, listed: map[string]cataloguer.Node{}}
-		m := &member{fleet: alone, name: "parent", catalog: parent}
+		singleNode := &fleet{version: 1, members: map[string]*member{}, rejected: map[string]bool{}, nodeInfo: map[string]cataloguer.Node{}}
+		m := &member{fleet: singleNode, name: "parent", catalog: parent}
 		m.follower = follower.New(follower.Options{
 			Catalog: parent, Store: m, Peers: m, Self: cataloguer.Node{Name: "parent"},
-			Seeds: func() []string { return nil }, LiveNodes: m.live, DepartedNodes: alone.gone, Logger: zerolog.Nop(),
+			Seeds: func() []string { return nil }, LiveNodes: m.live, DepartedNodes: singleNode.departed, Logger: zerolog.Nop(),
 		})
-		alone.parts["parent"] = m
+		singleNode.members["parent"] = m
 
 		both := []cataloguer.Upstream{{ID: "a"}, {ID: "b"}}
 		register := func(c *cataloguer.Catalog, revision int64, upstreams []cataloguer.Upstream) {
@@ -657,7 +655,7 @@
 		register(parent, 9, both)
 		register(parent, 10, both[:1])
 
-		// Another child had the change at revision 10; the parent then missed that b came back for a moment.
+		// Another child had the change at revision 10; the parent then missed that b returned for a moment.
 		other := cataloguer.New(now)
 		register(other, 9, both)
 		pullOnce(t, m, other)
@@ -670,17 +668,17 @@
 	})
 }
 
-// pullOnce lets a node with the catalog ask another one once.
-func pullOnce(t *testing.T, asked *member, catalog *cataloguer.Catalog) {
+// pullOnce makes a node with the given catalog pull from a peer once.
+func pullOnce(t *testing.T, peer *member, catalog *cataloguer.Catalog) {
 	t.Helper()
 
-	child := &member{fleet: asked.fleet, name: "child", catalog: catalog}
+	child := &member{fleet: peer.fleet, name: "child", catalog: catalog}
 	child.follower = follower.New(follower.Options{
 		Catalog: catalog, Store: child, Peers: child, Self: cataloguer.Node{Name: "child"},
-		Seeds: func() []string { return nil }, LiveNodes: child.live, DepartedNodes: asked.fleet.gone, Logger: zerolog.Nop(),
+		Seeds: func() []string { return nil }, LiveNodes: child.live, DepartedNodes: peer.fleet.departed, Logger: zerolog.Nop(),
 	})
 
-	_, err := child.follower.HandleChanged(t.Context(), asked.name, nil)
+	_, err := child.follower.HandleChanged(t.Context(), peer.name, nil)
 	assert.NilError(t, err)
 
 	ctx, stop := context.WithTimeout(t.Context(), 50*time.Millisecond)
@@ -690,38 +688,36 @@
 	synctest.Wait()
 }
 
-// Symptom: a node that was cut off looks fresh.
-// Sequence: the store is away; an answer of a peer is held up on its way.
-// Cause: the age in the answer counted from its arrival, not from the question.
+// The store is away, and a peer's response is delayed. If its age counts from its arrival and not from the pull, a
+// node that is cut off appears fresh.
 func TestAgeGrowsWhileTheStoreIsAway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 5)
-		defer f.end()
+		defer f.stop()
 
 		time.Sleep(15 * time.Second)
-		f.change(func() {
+		f.update(func() {
 			f.down = true
-			f.held = 200 * time.Millisecond
+			f.callDelay = 200 * time.Millisecond
 		})
 		time.Sleep(10 * time.Second)
 
-		for name, m := range f.parts {
+		for name, m := range f.members {
 			age, _ := m.catalog.ConfigurationAge()
-			assert.Assert(t, age >= 10*time.Second, "%s believes that it knows what was true %v ago", name, age)
+			assert.Assert(t, age >= 10*time.Second, "%s reports a configuration age of only %v", name, age)
 		}
 	})
 }
 
-// Symptom: a node that restarts during an outage answers 404 or 401 for what is there.
-// Sequence: the store is away; a node starts that knows only a seed.
-// Cause: only the store could tell it the configuration.
+// A node that knows only a seed starts during a store outage. If only the store can provide the configuration, the
+// node answers 404 or 401 for existing routes and keys.
 func TestNodeStartsDuringAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 3)
-		defer f.end()
+		defer f.stop()
 
 		time.Sleep(5 * time.Second)
-		f.change(func() { f.down = true })
+		f.update(func() { f.down = true })
 		started := f.start(t, "new", []string{"gone", "n1"})
 		time.Sleep(3 * time.Second)
 
@@ -729,24 +725,23 @@
 	})
 }
 
-// Symptom: the list of nodes grows with each VM that is replaced, and all are probed for good.
-// Sequence: a node is gone for good; another one is taken for gone although it lives.
-// Cause: entries were written and never removed.
+// Nodes leave for good, and a live node is reported as departed. If entries are never removed, the list of nodes
+// grows with each replaced VM, and all nodes are probed forever. The live node must be listed again.
 func TestNodesThatAreGoneAreWithdrawn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 9)
-		defer f.end()
+		defer f.stop()
 
 		time.Sleep(10 * time.Second)
-		f.parts["n3"].stop()
+		f.members["n3"].stop()
 		f.mu.Lock()
-		delete(f.parts, "n3")
-		f.dead = []string{"n3", "n5", "never-listed"}
+		delete(f.members, "n3")
+		f.departedNodes = []string{"n3", "n5", "never-listed"}
 		f.mu.Unlock()
 		time.Sleep(90 * time.Second)
 
 		f.mu.Lock()
-		f.dead = nil
+		f.departedNodes = nil
 		f.mu.Unlock()
 		time.Sleep(10 * time.Second)
 
--- a/internal/gateway/follower/handover.go
+++ b/internal/gateway/follower/handover.go
@@ -7,26 +7,28 @@
 )
 
 const (
-	// handOverStep is the number of places from a node that the store refuses to the one that it asks to try.
-	handOverStep = quickSubstitutes + 1
-	// mostHandOvers is the number of places of the order in which nodes are asked to try. Each call of the store is paid for.
-	mostHandOvers = 64
-	// handOverAge is the age of the proof at which a node that was asked tries: the first nine have, if they were not served.
-	handOverAge = substituteAge + quickSubstitutes*substituteAgeStep + readAgeSpread
-	// handOverPause is the time between two such tries of one node while the store answers nobody.
-	handOverPause = 10 * time.Second
+	// handoverRankOffset is the distance in the order from a node that the store rejects to the node that it asks to
+	// read.
+	handoverRankOffset = linearSubstitutes + 1
+	// maxHandoverRank bounds the ranks that are asked to read, since each call of the store is paid for.
+	maxHandoverRank = 64
+	// handoverReadAge is the configuration age at which a node that was asked reads. By then the first nine have
+	// tried, unless they were served.
+	handoverReadAge = substituteAge + linearSubstitutes*substituteAgeStep + readAgeJitter
+	// handoverRetryInterval is the time between two such reads of one node while the store serves no node.
+	handoverRetryInterval = 10 * time.Second
 )
 
-// MethodReadStore tells a peer that the store refuses the caller, and asks it to try.
+// MethodReadStore asks a peer to read the store, which rejects the caller.
 const MethodReadStore = "catalog.read"
 
-// handOver asks the node a few places behind this one to read the store, which refuses this one: it may serve that one. A
-// store that doesn't answer at all is away, and more calls would not help.
-func (f *Follower) handOver(ctx context.Context, took, timeout time.Duration) {
+// requestHandover asks a node further down the order to read the store, which rejects this node but may serve that
+// one. If the read took long, the store is unavailable, and more calls would not help.
+func (f *Follower) requestHandover(ctx context.Context, elapsed, timeout time.Duration) {
 	t := f.tree()
-	next := t.rank + handOverStep
+	next := t.rank + handoverRankOffset
 
-	if took >= timeout/2 || next >= min(len(t.order), mostHandOvers) {
+	if elapsed >= timeout/2 || next >= min(len(t.order), maxHandoverRank) {
 		return
 	}
 
@@ -44,21 +46,21 @@
 	now := f.options.Catalog.Now()
 
 	f.mu.Lock()
-	f.askedToReadAt = now
+	f.handoverRequestedAt = now
 	f.mu.Unlock()
 
-	f.wakeUp()
+	f.wakeLoop()
 
 	return struct{}{}, nil
 }
 
-// isHandedOverLocked says whether another node asked this one to read the store, nobody has been answered since, and those that
-// try by themselves have tried; f.mu is held.
-func (f *Follower) isHandedOverLocked(t *tree, now, age time.Duration) bool {
-	proven := now - age
-	if proven >= f.askedToReadAt || f.readAt >= f.askedToReadAt {
+// isHandoverDueLocked reports whether another node asked this one to read the store, no node has read it since, and
+// the nodes that read without being asked have tried. f.mu must be held.
+func (f *Follower) isHandoverDueLocked(t *tree, now, age time.Duration) bool {
+	freshAt := now - age
+	if freshAt >= f.handoverRequestedAt || f.lastReadAt >= f.handoverRequestedAt {
 		return false
 	}
 
-	return age > handOverAge+lag(t) && (proven > f.readAt || now-f.readAt >= handOverPause)
+	return age > handoverReadAge+propagationLag(t) && (freshAt > f.lastReadAt || now-f.lastReadAt >= handoverRetryInterval)
 }
--- a/internal/gateway/follower/pulling.go
+++ b/internal/gateway/follower/pulling.go
@@ -7,32 +7,33 @@
 )
 
 const (
-	// peerInterval is the time between two questions to the parent.
-	peerInterval = 400 * time.Millisecond
-	// peerTimeout bounds the first question to a peer. The next one to the same peer has twice the time: it may only
-	// have been slow, and an answer that is given up is asked for again.
+	// pullInterval is the time between two pulls from the parent.
+	pullInterval = 400 * time.Millisecond
+	// peerTimeout bounds the first pull from a peer. The timeout doubles for the next pull from the same peer, which
+	// may only have been slow: a response that times out is requested again.
 	peerTimeout = 300 * time.Millisecond
-	// mostPeerDoublings bounds that at 1.2 s, below the time in which a silent connection is given up.
-	mostPeerDoublings = 2
-	// firstPlaces is the number of nodes at the top of the tree that a stale node asks beside all others. Nodes that
-	// read in the place of the first one are nearly always among them.
-	firstPlaces = 8
+	// maxTimeoutDoublings limits the timeout to 1.2 s, which is below the time after which a silent connection is
+	// closed.
+	maxTimeoutDoublings = 2
+	// topNodes is the number of nodes at the top of the order that a stale node pulls from more often than from
+	// others. Nodes that read in place of the root are nearly always among them.
+	topNodes = 8
 )
 
-// question is a question to a peer that is due.
-type question struct {
+// duePull is a pull from a peer that is due.
+type duePull struct {
 	peer    string
 	timeout time.Duration
 }
 
-// takeQuestion chooses the peer to ask now: the parent, or anyone while the proof is old.
-func (f *Follower) takeQuestion(t *tree) (question, bool) {
+// schedulePull selects the peer to pull from now: the parent, or any node while the configuration is stale.
+func (f *Follower) schedulePull(t *tree) (duePull, bool) {
 	now := f.options.Catalog.Now()
 	age, known := f.options.Catalog.ConfigurationAge()
-	// The first node asks another one as soon as its own reads fail.
-	stale := !known || isStale(t, age) || t.rank == 0 && age > storeInterval+storeTimeout/2
+	// The root pulls from another node as soon as its own reads fail.
+	stale := !known || isStale(t, age) || t.rank == 0 && age > storeReadInterval+storeTimeout/2
 
-	interval := peerInterval
+	interval := pullInterval
 	if stale {
 		interval /= 2
 	}
@@ -40,44 +41,44 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
-	if f.asking {
-		return question{}, false
+	if f.pulling {
+		return duePull{}, false
 	}
 
-	if f.teller != "" {
-		peer := f.teller
-		f.teller = ""
+	if f.nextPeer != "" {
+		peer := f.nextPeer
+		f.nextPeer = ""
 
-		return f.questionLocked(peer, now), true
+		return f.newPullLocked(peer, now), true
 	}
 
 	parent := f.parentLocked(t)
-	if parent == "" && !stale || now-f.askedAt < interval {
-		return question{}, false
+	if parent == "" && !stale || now-f.lastPullAt < interval {
+		return duePull{}, false
 	}
 
 	peer, ok := f.choosePeer(t, parent, stale)
 	if !ok {
-		return question{}, false
+		return duePull{}, false
 	}
 
-	return f.questionLocked(peer, now), true
+	return f.newPullLocked(peer, now), true
 }
 
-// questionLocked notes that a peer is asked; f.mu is held.
-func (f *Follower) questionLocked(peer string, now time.Duration) question {
-	if peer != f.askedPeer {
-		f.askedPeer, f.failedAsks = peer, 0
+// newPullLocked records that a pull from the peer starts. f.mu must be held.
+func (f *Follower) newPullLocked(peer string, now time.Duration) duePull {
+	if peer != f.lastPulledPeer {
+		f.lastPulledPeer, f.failedPulls = peer, 0
 	}
 
-	f.asking, f.askedAt = true, now
+	f.pulling, f.lastPullAt = true, now
 	f.counters.Pulls++
 
-	return question{peer: peer, timeout: peerTimeout << min(f.failedAsks, mostPeerDoublings)}
+	return duePull{peer: peer, timeout: peerTimeout << min(f.failedPulls, maxTimeoutDoublings)}
 }
 
-// parentLocked is the peer to ask while all is well; empty if there is none. The first node asks the one that reads in
-// its place, so that all others still learn through the tree; f.mu is held.
+// parentLocked returns the peer to pull from while the configuration is not stale; empty if there is none. The root
+// pulls from the node that reads in its place, so that all others still update through the tree. f.mu must be held.
 func (f *Follower) parentLocked(t *tree) string {
 	if t.parent == "" && f.failedReads > 0 && f.reader != f.options.Self.Name {
 		return f.reader
@@ -92,121 +93,121 @@
 	}
 
 	isSelf := func(name string) bool { return name == f.options.Self.Name }
-	first := slices.DeleteFunc(slices.Clone(t.order[:min(firstPlaces, len(t.order))]), isSelf)
+	top := slices.DeleteFunc(slices.Clone(t.order[:min(topNodes, len(t.order))]), isSelf)
 	everyone := slices.DeleteFunc(slices.Concat(t.order, f.options.Seeds()), isSelf)
 
 	if len(everyone) == 0 {
 		return "", false
 	}
 
-	// Where few nodes reach the store, asking at random would find them too seldom.
-	f.turn++
+	// If few nodes reach the store, random selection would find them too rarely.
+	f.stalePulls++
 
-	switch round := f.turn / 2; {
-	case f.turn%2 == 0 && f.fresh != "":
-		return f.fresh, true
-	case round%3 == 0 && len(first) > 0:
-		return first[round/3%len(first)], true
+	switch round := f.stalePulls / 2; {
+	case f.stalePulls%2 == 0 && f.freshPeer != "":
+		return f.freshPeer, true
+	case round%3 == 0 && len(top) > 0:
+		return top[round/3%len(top)], true
 	case round%3 == 1 && parent != "":
 		return parent, true
 	default:
-		return everyone[f.turn%len(everyone)], true
+		return everyone[f.stalePulls%len(everyone)], true
 	}
 }
 
-// isStale says whether a proof is older than it gets while all is well.
+// isStale reports whether a configuration is older than it becomes in normal operation.
 func isStale(t *tree, age time.Duration) bool {
-	return age > substituteAge+lag(t)
+	return age > substituteAge+propagationLag(t)
 }
 
-// ask asks one peer for what it knows.
-func (f *Follower) ask(ctx context.Context, q question) {
-	// What is told to others when the answer is in must not end with the question.
-	asking, cancel := context.WithTimeout(ctx, q.timeout)
+// pull pulls from one peer and applies the response.
+func (f *Follower) pull(ctx context.Context, p duePull) {
+	// Notifications sent after the response must not be cancelled with the call, so they use ctx.
+	callCtx, cancel := context.WithTimeout(ctx, p.timeout)
 	defer cancel()
 
 	defer func() {
 		f.mu.Lock()
-		f.asking = false
-		waiting := f.teller != ""
+		f.pulling = false
+		hasNext := f.nextPeer != ""
 		f.mu.Unlock()
 
-		if waiting {
-			f.wakeUp()
+		if hasNext {
+			f.wakeLoop()
 		}
 	}()
 
 	catalog := f.options.Catalog
 	state := catalog.State()
-	begun := catalog.Now()
+	startedAt := catalog.Now()
 	wasStale := isStale(f.tree(), f.age())
 	params := pullParams{
-		Version:  state.Configuration.Version,
-		Revision: state.Registry.Revision,
-		Kept:     state.Registry.RetainedUpstreams,
-		Digest:   state.Digest,
-		Held:     f.pages.Progress(),
+		Version:           state.Configuration.Version,
+		Revision:          state.Registry.Revision,
+		RetainedUpstreams: state.Registry.RetainedUpstreams,
+		Digest:            state.Digest,
+		Progress:          f.assembler.Progress(),
 	}
 
-	var answer pullAnswer
+	var response pullResponse
 
-	err := f.options.Peers.Call(asking, q.peer, MethodPull, params, &answer)
-	f.noteAnswer(q.peer, answer, begun, err)
+	err := f.options.Peers.Call(callCtx, p.peer, MethodPull, params, &response)
+	f.recordPull(p.peer, response, startedAt, err)
 
 	if err != nil {
-		f.options.Logger.Debug().Err(err).Str("peer", q.peer).Msg("pull_failed")
+		f.options.Logger.Debug().Err(err).Str("peer", p.peer).Msg("pull_failed")
 
 		return
 	}
 
-	if answer.Version == 0 || answer.AgeMS < 0 {
+	if response.Version == 0 || response.AgeMS < 0 {
 		return
 	}
 
-	more, err := f.take(ctx, answer, begun)
+	more, err := f.applyPull(ctx, response, startedAt)
 	if err != nil {
-		f.options.Logger.Warn().Err(err).Str("peer", q.peer).Msg("pull_unreadable")
+		f.options.Logger.Warn().Err(err).Str("peer", p.peer).Msg("pull_unreadable")
 
 		return
 	}
 
 	if more {
-		f.askNext(q.peer)
+		f.setNextPeer(p.peer)
 	}
 
-	// The nodes below can't tell that asking is of use again.
+	// The children can't tell that pulling is useful again.
 	if t := f.tree(); wasStale && !isStale(t, f.age()) {
-		f.tell(ctx, t.children)
+		f.notify(ctx, t.children)
 	}
 }
 
-// askNext makes a peer the next to be asked.
-func (f *Follower) askNext(peer string) {
+// setNextPeer makes a peer the next one to pull from, unless another is already set.
+func (f *Follower) setNextPeer(peer string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
-	if f.teller == "" {
-		f.teller = peer
+	if f.nextPeer == "" {
+		f.nextPeer = peer
 	}
 }
 
-// noteAnswer remembers whether a peer answers and whether its proof is fresh.
-func (f *Follower) noteAnswer(peer string, answer pullAnswer, begun time.Duration, err error) {
+// recordPull records whether a peer answered and whether its state is fresh.
+func (f *Follower) recordPull(peer string, response pullResponse, startedAt time.Duration, err error) {
 	t := f.tree()
 
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
 	if err != nil {
-		f.failedAsks++
+		f.failedPulls++
 		f.counters.FailedPulls++
 
 		return
 	}
 
-	f.failedAsks, f.heardAt = 0, begun
+	f.failedPulls, f.lastAnsweredPullAt = 0, startedAt
 
-	for _, page := range []*offer{answer.Configuration, answer.Registry} {
+	for _, page := range []*payloadPage{response.Configuration, response.Registry} {
 		if page != nil {
 			f.counters.Pages++
 			f.counters.PageBytes += int64(len(page.Data))
@@ -214,22 +215,22 @@
 	}
 
 	switch {
-	case answer.AgeMS >= 0 && answer.age() < aloneReadAge:
-		f.fresh = peer
-	case f.fresh == peer:
-		f.fresh = ""
+	case response.AgeMS >= 0 && response.age() < isolatedReadAge:
+		f.freshPeer = peer
+	case f.freshPeer == peer:
+		f.freshPeer = ""
 	}
 
-	if answer.AgeMS < 0 {
+	if response.AgeMS < 0 {
 		return
 	}
 
-	if at := begun - answer.age(); at > f.provenAt {
-		f.provenAt, f.reader = at, answer.Reader
+	if freshAt := startedAt - response.age(); freshAt > f.freshAt {
+		f.freshAt, f.reader = freshAt, response.Reader
 	}
 
-	// One that goes before this node reads the store again, so one of them is enough.
-	if f.substitute && answer.age() < substituteAge && t.isBefore(answer.Reader, f.options.Self.Name) {
-		f.substitute = false
+	// A node with a lower rank reads the store again, and one reader is enough.
+	if f.isSubstitute && response.age() < substituteAge && t.precedes(response.Reader, f.options.Self.Name) {
+		f.isSubstitute = false
 	}
 }
--- /dev/null
+++ b/internal/gateway/follower/store_reading.go
@@ -0,0 +1,369 @@
+package follower
+
+import (
+	"context"
+	"math"
+	"slices"
+	"time"
+
+	"github.com/cockroachdb/errors"
+
+	"quincepath.example/quincepath/internal/gateway/cataloguer"
+	"quincepath.example/quincepath/internal/quarantiner"
+)
+
+const (
+	// storeReadInterval is the time between two reads of the node that reads for all. A change takes effect after
+	// this interval, a call and the propagation through the tree: well within the two seconds that operators are
+	// promised.
+	storeReadInterval = 600 * time.Millisecond
+	// substituteAge is the configuration age at which the second node reads the store itself. It exceeds the sum of
+	// the root's read interval, the interval of pulls from it and a tick of each, which is the highest age in normal
+	// operation.
+	substituteAge = 1250 * time.Millisecond
+	// substituteAgeStep is added for each following rank, up to linearSubstitutes ranks: these nodes replace the root
+	// one by one. The last of nine must still meet the two seconds in which changes of keys and routes take effect,
+	// in case the store rejects all others.
+	substituteAgeStep = 50 * time.Millisecond
+	linearSubstitutes = 8
+	// substituteAgeGrowth multiplies that age for each rank behind them. While no node can read, the number of nodes
+	// that try grows with the logarithm of time and not with the fleet: about twelve in eight seconds. Otherwise 300
+	// nodes would call a store that rejects them, and every call is paid for.
+	substituteAgeGrowth = 1.5
+	// isolatedReadAge is the read age of a node that no peer answers, as no other node can help it.
+	isolatedReadAge = substituteAge + linearSubstitutes*substituteAgeStep
+	// startReadAge is the read age of a node that just started and whose peers have no configuration either: the
+	// seeds read the store first. Some of the others follow, spread over startReadJitter, in case the store rejects
+	// all seeds.
+	startReadAge    = 2 * isolatedReadAge
+	startReadJitter = isolatedReadAge
+	// readAgeJitter separates nodes that become due at the same time.
+	readAgeJitter = 100 * time.Millisecond
+	// isolationTimeout is the time without an answered pull after which a node considers itself isolated.
+	isolationTimeout = 1500 * time.Millisecond
+	// storeTimeout bounds the first attempt of a read. A read that takes longer is retried on another connection with
+	// more time, as its data may exceed what a slow link transfers in the first attempt.
+	storeTimeout    = 700 * time.Millisecond
+	maxStoreTimeout = 2800 * time.Millisecond
+	// fullReadTimeout bounds a read of the whole store: two megabytes over a 20 Mbit/s link, with overhead.
+	fullReadTimeout = 2500 * time.Millisecond
+	// nodesPerRetrySlot and maxRetrySlots set the number of slots in which nodes take turns to retry an unavailable
+	// store. A node of nine retries every 1.8 s, so that a store that returns for it alone is noticed within the two
+	// seconds in which changes of keys and routes take effect; one of many retries every 4.8 s, where operators allow
+	// more time.
+	nodesPerRetrySlot = 3
+	maxRetrySlots     = 8
+	// outageThreshold is the time without a successful read after which entries may have expired in the store.
+	outageThreshold = 2500 * time.Millisecond
+)
+
+// scheduleRead reports whether this node is due to read the store, and records that the read starts. It returns the
+// timeout of the read.
+func (f *Follower) scheduleRead(t *tree) (time.Duration, bool) {
+	now := f.options.Catalog.Now()
+	age := f.age()
+
+	f.mu.Lock()
+	defer f.mu.Unlock()
+
+	if f.reading || now-f.lastReadAt < f.readIntervalLocked(t) {
+		return 0, false
+	}
+
+	readAge := f.readAgeLocked(t, now)
+	if age <= readAge && !f.isHandoverDueLocked(t, now, age) {
+		return 0, false
+	}
+
+	if readAge > 0 {
+		f.resetFailedReadsLocked(now - age)
+	}
+
+	f.reading, f.lastReadAt = true, now
+	f.counters.StoreReads++
+
+	return min(storeTimeout*time.Duration(1+f.failedReads), maxStoreTimeout), true
+}
+
+// resetFailedReadsLocked resets the count of failed reads if the store answered any node since this node's last read.
+// f.mu must be held.
+//
+// A node that reads only while others can't has no successful read of its own between two outages. If it kept the
+// count of the last outage, all such nodes would wait equally long from their first read on instead of taking turns.
+// A store that returned was then called after up to 1.3 s from the second outage on; with turns, after 0.7 s (nine
+// nodes, 1,200 outages, virtual time).
+//
+// It must not be called for nodes with read age 0: one that the store rejects, while it serves others, would call it
+// every storeReadInterval.
+func (f *Follower) resetFailedReadsLocked(freshAt time.Duration) {
+	if freshAt > f.lastReadAt {
+		f.failedReads = 0
+	}
+}
+
+// readIntervalLocked returns the time between the starts of two reads. f.mu must be held. After failed reads, nodes
+// take turns by their rank. The first attempts of all nodes fall within half a second; if the next ones did too, a
+// store that returned right after them would go unnoticed for a whole round.
+func (f *Follower) readIntervalLocked(t *tree) time.Duration {
+	slots := min(max(len(t.order)/nodesPerRetrySlot, 2), maxRetrySlots)
+
+	switch f.failedReads {
+	case 0:
+		return storeReadInterval
+	case 1:
+		return time.Duration(1+t.rank%slots) * storeReadInterval
+	default:
+		return time.Duration(slots) * storeReadInterval
+	}
+}
+
+// jitterLocked returns a random duration below the limit. f.mu must be held.
+func (f *Follower) jitterLocked(limit time.Duration) time.Duration {
+	return time.Duration(f.random.Int64N(int64(limit)))
+}
+
+// readAgeLocked returns the configuration age above which this node reads the store itself. f.mu must be held.
+func (f *Follower) readAgeLocked(t *tree, now time.Duration) time.Duration {
+	state := f.options.Catalog.State()
+	seeds := f.options.Seeds()
+	isSeed := len(seeds) == 0 || slices.Contains(seeds, f.options.Self.Name)
+	// A node that just started knows few others, so having the lowest rank among them doesn't make it the root.
+	isFirst := t.rank == 0 && 2*len(t.order) > len(state.Registry.Nodes) && (len(t.order) > 1 || isSeed)
+	isIsolated := now-max(f.lastAnsweredPullAt, f.createdAt) > isolationTimeout
+
+	switch {
+	case f.isSubstitute || state.HasConfiguration() && isFirst || !state.HasConfiguration() && isSeed:
+		return 0
+	case isIsolated:
+		return isolatedReadAge + f.jitterLocked(readAgeJitter)
+	case !state.HasConfiguration():
+		return startReadAge + f.jitterLocked(startReadJitter)
+	case len(t.order) == 1:
+		// The node just started: peers answer it, but it doesn't know yet which of them are live.
+		return isolatedReadAge + f.jitterLocked(readAgeJitter)
+	default:
+		return substituteAgeForRank(t.rank) + propagationLag(t) + f.jitterLocked(readAgeJitter)
+	}
+}
+
+// substituteAgeForRank returns the read age of a node by its rank.
+func substituteAgeForRank(rank int) time.Duration {
+	linear := substituteAge + time.Duration(min(max(rank-1, 0), linearSubstitutes))*substituteAgeStep
+	exponent := max(rank-1-linearSubstitutes, 0)
+
+	// Above an hour the exact age doesn't matter, and higher exponents would overflow a duration.
+	const maxExponent = 40
+
+	return time.Duration(float64(linear) * math.Pow(substituteAgeGrowth, float64(min(exponent, maxExponent))))
+}
+
+// propagationLag returns by how much a node's configuration is older than that of the root's children.
+func propagationLag(t *tree) time.Duration {
+	return time.Duration(max(t.depth-1, 0)) * (pullInterval + tickInterval)
+}
+
+// read reads the store once.
+func (f *Follower) read(ctx context.Context, timeout time.Duration) {
+	defer func() {
+		f.mu.Lock()
+		f.reading = false
+		f.mu.Unlock()
+	}()
+
+	catalog := f.options.Catalog
+	startedAt := catalog.Now()
+	// No node reached the store for a while, so expired entries may reappear.
+	age, known := catalog.ConfigurationAge()
+	afterOutage := known && age > outageThreshold
+	wasStale := isStale(f.tree(), f.age())
+
+	err := f.readChanges(ctx, timeout, startedAt, afterOutage)
+	if errors.Is(err, ErrHistoryCompacted) {
+		err = f.readAll(ctx, startedAt, afterOutage)
+	}
+
+	if err != nil {
+		f.recordReadFailure(err)
+		f.requestHandover(ctx, catalog.Now()-startedAt, timeout)
+
+		return
+	}
+
+	f.recordReadSuccess(startedAt)
+
+	if wasStale {
+		// Other nodes don't expect this node to have newer state than they do.
+		f.notifyStoreChange(ctx)
+	}
+}
+
+// readChanges updates the catalog to the store's current revision. It returns ErrHistoryCompacted if a full read is
+// needed.
+func (f *Follower) readChanges(ctx context.Context, timeout, startedAt time.Duration, afterOutage bool) error {
+	if !f.selectBase() {
+		return ErrHistoryCompacted
+	}
+
+	readCtx, cancel := context.WithTimeout(ctx, timeout)
+	defer cancel()
+
+	revision, err := f.options.Store.Revision(readCtx)
+	if err != nil {
+		return err
+	}
+
+	if revision < f.storeRegistry.Revision {
+		return ErrHistoryCompacted
+	}
+
+	if revision > f.storeRegistry.Revision {
+		changes, err := f.options.Store.Changes(readCtx, f.storeRegistry.Revision)
+		if err != nil {
+			return err
+		}
+
+		// The list of changes may lag behind the store. Without this check the old configuration would be marked as
+		// fresh, and a revoked key accepted for longer than allowed.
+		if changes.Revision < revision {
+			return ErrHistoryCompacted
+		}
+
+		f.applyChanges(ctx, changes, startedAt)
+	}
+
+	f.options.Catalog.MarkConfigurationFresh(f.options.Catalog.State().Configuration.Version, startedAt)
+	f.applyStoreRegistry(ctx, startedAt, afterOutage)
+
+	return nil
+}
+
+// selectBase selects the base to which changes are applied: the last read or, if it is newer, the registry from
+// peers. It reports whether there is one.
+func (f *Follower) selectBase() bool {
+	state := f.options.Catalog.State()
+	// Expired entries that the catalog retains are not in the store.
+	if state.Registry.RetainedUpstreams == 0 && state.Registry.Revision > f.storeRegistry.Revision {
+		f.storeRegistry = state.Registry
+	}
+
+	return state.HasConfiguration() && f.storeRegistry.Revision > 0
+}
+
+// applyChanges applies the changes that were read from the store.
+func (f *Follower) applyChanges(ctx context.Context, changes Changes, startedAt time.Duration) {
+	if changes.Configuration != nil {
+		f.applyConfiguration(ctx, *changes.Configuration, startedAt)
+	}
+
+	delta := cataloguer.RegistryDelta{
+		Revision:          changes.Revision,
+		UnreadableEntries: f.storeRegistry.UnreadableEntries,
+		Upstreams:         cataloguer.ListDelta[cataloguer.Upstream]{Put: changes.Upstreams, Remove: changes.RemovedUpstreams},
+		Nodes:             cataloguer.ListDelta[cataloguer.Node]{Put: changes.Nodes, Remove: changes.RemovedNodes},
+
+		Quarantined: cataloguer.ListDelta[quarantiner.Quarantine]{Put: changes.Quarantined, Remove: changes.RemovedQuarantines},
+	}
+	f.storeRegistry = delta.Apply(&f.storeRegistry)
+}
+
+// readAll reads the whole content of the store.
+func (f *Follower) readAll(ctx context.Context, startedAt time.Duration, afterOutage bool) error {
+	readCtx, cancel := context.WithTimeout(ctx, fullReadTimeout)
+	defer cancel()
+
+	f.count(func(c *Counters) { c.FullReads++ })
+
+	configuration, revision, err := f.options.Store.Configuration(readCtx)
+	if err != nil {
+		return err
+	}
+
+	if configuration.Version == 0 {
+		// The operators have not written a configuration yet, so there is nothing to serve.
+		return nil
+	}
+
+	f.applyConfiguration(ctx, configuration, startedAt)
+
+	registry, err := f.options.Store.Registry(readCtx)
+	if err != nil {
+		return err
+	}
+
+	// The lists are newer than the configuration, so the next changes must be read from the configuration's revision.
+	registry.Revision = revision
+	f.storeRegistry = registry
+	f.applyStoreRegistry(ctx, startedAt, afterOutage)
+
+	return nil
+}
+
+func (f *Follower) applyConfiguration(ctx context.Context, configuration cataloguer.Configuration, startedAt time.Duration) {
+	if f.options.Catalog.ApplyConfiguration(configuration, startedAt) {
+		f.logConfiguration("store", startedAt)
+		f.notifyStoreChange(ctx)
+	}
+}
+
+// applyStoreRegistry applies the registry as of the read that started at startedAt.
+func (f *Follower) applyStoreRegistry(ctx context.Context, startedAt time.Duration, afterOutage bool) {
+	if f.options.Catalog.ApplyFreshRegistry(f.storeRegistry, afterOutage, startedAt) {
+		f.logRegistry("store")
+		f.notifyStoreChange(ctx)
+	}
+}
+
+// recordReadSuccess records a successful read that started at startedAt.
+func (f *Follower) recordReadSuccess(startedAt time.Duration) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+
+	if f.storeUnavailable {
+		f.storeUnavailable = false
+		event := f.options.Logger.Info()
+
+		if f.lastGoodReadAt >= 0 {
+			event = event.Dur("after_ms", startedAt-f.lastGoodReadAt)
+		}
+
+		event.Msg("store_regained")
+	}
+
+	f.lastGoodReadAt, f.failedReads = startedAt, 0
+	f.reader, f.freshAt = f.options.Self.Name, startedAt
+	f.isSubstitute = f.options.Catalog.State().HasConfiguration()
+}
+
+func (f *Follower) recordReadFailure(err error) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+
+	f.failedReads++
+	f.counters.FailedReads++
+	f.isSubstitute = false
+
+	if !f.storeUnavailable {
+		f.storeUnavailable = true
+		f.options.Logger.Warn().Err(err).Msg("store_lost")
+	}
+}
+
+func (f *Follower) logConfiguration(source string, startedAt time.Duration) {
+	state := f.options.Catalog.State()
+	f.options.Logger.Info().
+		Int64("version", state.Configuration.Version).
+		Int("routes", len(state.Configuration.Routes)).
+		Str("source", source).
+		Dur("took_ms", f.options.Catalog.Now()-startedAt).
+		Msg("configuration_applied")
+}
+
+func (f *Follower) logRegistry(source string) {
+	registry := f.options.Catalog.State().Registry
+	f.options.Logger.Info().
+		Int64("revision", registry.Revision).
+		Int("upstreams", len(registry.Upstreams)).
+		Int("nodes", len(registry.Nodes)).
+		Str("source", source).
+		Msg("registry_applied")
+}
--- a/internal/gateway/follower/tree.go
+++ b/internal/gateway/follower/tree.go
@@ -8,29 +8,31 @@
 	"quincepath.example/quincepath/internal/gateway/cataloguer"
 )
 
-// fanOut is the number of nodes of a failure domain that ask the same parent. Three levels reach 4,000 nodes.
+// fanOut is the number of nodes of a failure domain that pull from the same parent. Three levels reach 4,000 nodes.
 const fanOut = 20
 
-// tree is the way of changes from the store to all nodes, as one node sees it. Each node computes it from the live ones,
-// so nobody has to be elected.
+// tree is the distribution tree from the store to all nodes, as seen by one node. Each node computes it from the live
+// nodes, so no election is needed.
 //
-// The strongest nodes stand at the top: with hashing alone a fleet of few strong and many weak VMs has weak ones there, whose links
-// are full for seconds with each change. Each failure domain is fed once, by its first node, since bytes between failure
-// domains are paid for. A fleet that is small enough hangs on its first node alone: news are older with each level.
+// The strongest nodes are at the top. With hashing alone, a fleet of few strong and many weak VMs would have weak
+// ones there, whose links are saturated for seconds by each change. Each failure domain receives updates once,
+// through its head, since bytes between failure domains are paid for. In a small fleet all nodes pull from the root,
+// as each level adds latency.
 type tree struct {
-	// order holds all nodes, the strong ones first, else by hash.
+	// order holds all nodes: the strong ones first, each group sorted by hash.
 	order []string
-	// rank is this node's place in the order, 0 for the one that reads the store for all.
+	// rank is this node's position in order; 0 for the root, which reads the store for all.
 	rank int
-	// parent is the node to ask; empty for the first one.
+	// parent is the node to pull from; empty for the root.
 	parent string
-	// depth is the number of nodes between this one and the store; 0 for the first.
+	// depth is the number of nodes between this one and the store; 0 for the root.
 	depth int
-	// children are the nodes that ask this one.
+	// children are the nodes that pull from this one.
 	children []string
 }
 
-// SortByHash sorts nodes so that all nodes agree on it without a message and a name says nothing of the place.
+// SortByHash returns the nodes sorted by the hash of their names. All nodes agree on this order without
+// communication, and similar names don't get adjacent positions.
 func SortByHash(nodes []string) []string {
 	order := slices.Clone(nodes)
 
@@ -50,14 +52,14 @@
 	return order
 }
 
-// isBefore says whether a live node goes before another one in the tree's order.
-func (t *tree) isBefore(name, other string) bool {
-	place := slices.Index(t.order, name)
+// precedes reports whether a live node comes before another one in the order.
+func (t *tree) precedes(name, other string) bool {
+	position := slices.Index(t.order, name)
 
-	return place >= 0 && place < slices.Index(t.order, other)
+	return position >= 0 && position < slices.Index(t.order, other)
 }
 
-// newTree returns the tree over the live nodes as the node named self sees it. Nodes that aren't listed yet count as weak.
+// newTree returns the tree of the live nodes as seen by the node named self. Unlisted nodes count as weak.
 func newTree(self string, live []string, listed []cataloguer.Node) *tree {
 	known := make(map[string]cataloguer.Node, len(listed))
 	for _, node := range listed {
@@ -69,58 +71,60 @@
 	t.rank = max(slices.Index(t.order, self), 0)
 
 	if len(t.order) <= fanOut+1 {
-		t.placeIn(t.order, t.rank)
+		t.setDomainPosition(t.order, t.rank)
 
 		return t
 	}
 
-	// The first node of each failure domain hangs on the first of all, the others on those of their own.
-	var heads, own []string
+	// The head of each failure domain, its first node in order, pulls from the root; the others pull from nodes of
+	// their domain.
+	var domainHeads, domainNodes []string
 
 	domain := known[self].FailureDomain
 	seen := make(map[string]bool)
 
 	for _, name := range t.order {
-		at := known[name].FailureDomain
-		if !seen[at] {
-			seen[at] = true
+		nodeDomain := known[name].FailureDomain
+		if !seen[nodeDomain] {
+			seen[nodeDomain] = true
 
-			heads = append(heads, name)
+			domainHeads = append(domainHeads, name)
 		}
 
-		if at == domain {
-			own = append(own, name)
+		if nodeDomain == domain {
+			domainNodes = append(domainNodes, name)
 		}
 	}
 
-	place := max(slices.Index(own, self), 0)
-	t.placeIn(own, place)
+	position := max(slices.Index(domainNodes, self), 0)
+	t.setDomainPosition(domainNodes, position)
 
 	switch {
 	case t.rank == 0:
-		t.children = append(t.children, heads[1:]...)
-	case place == 0:
+		t.children = append(t.children, domainHeads[1:]...)
+	case position == 0:
 		t.parent = t.order[0]
 	}
 
-	if own[0] != t.order[0] {
+	if domainNodes[0] != t.order[0] {
 		t.depth++
 	}
 
 	return t
 }
 
-// placeIn sets what follows from the place among the nodes of one failure domain.
-func (t *tree) placeIn(own []string, place int) {
-	first := min(place*fanOut+1, len(own))
-	last := min(first+fanOut, len(own))
-	t.children = slices.Clone(own[first:last])
+// setDomainPosition sets the parent, children and depth that follow from the position among the nodes of one failure
+// domain.
+func (t *tree) setDomainPosition(domainNodes []string, position int) {
+	first := min(position*fanOut+1, len(domainNodes))
+	last := min(first+fanOut, len(domainNodes))
+	t.children = slices.Clone(domainNodes[first:last])
 
-	if place > 0 {
-		t.parent = own[(place-1)/fanOut]
+	if position > 0 {
+		t.parent = domainNodes[(position-1)/fanOut]
 	}
 
-	for ; place > 0; place = (place - 1) / fanOut {
+	for ; position > 0; position = (position - 1) / fanOut {
 		t.depth++
 	}
 }
--- a/internal/gateway/follower/tree_test.go
+++ b/internal/gateway/follower/tree_test.go
@@ -10,8 +10,9 @@
 	"quincepath.example/quincepath/internal/gateway/cataloguer"
 )
 
-// fleetOf returns nodes of some failure domains, of which each with a number below strong in its domain is a strong VM.
-func fleetOf(count, domains, strong int) ([]string, []cataloguer.Node) {
+// fleetNodes returns nodes in several failure domains. In each domain, the nodes with an index below strong are
+// strong VMs.
+func fleetNodes(count, domains, strong int) ([]string, []cataloguer.Node) {
 	names := make([]string, 0, count)
 	nodes := make([]cataloguer.Node, 0, count)
 
@@ -27,49 +28,48 @@
 	return names, nodes
 }
 
-// Symptom: changes take seconds to reach a fleet of few strong and many weak VMs, and most of their bytes cross failure domains.
-// Sequence: each node computes whom to ask.
-// Cause: parents were found by hashing alone.
+// If parents are chosen by hashing alone, changes take seconds to reach a fleet of few strong and many weak VMs, and
+// most of their bytes cross failure domains.
 func TestTreeFeedsEachFailureDomainOnceThroughStrongNodes(t *testing.T) {
 	for _, size := range []struct{ count, domains, strong int }{{1, 1, 1}, {9, 3, 3}, {65, 3, 2}, {295, 5, 3}, {370, 12, 2}} {
-		names, nodes := fleetOf(size.count, size.domains, size.strong)
+		names, nodes := fleetNodes(size.count, size.domains, size.strong)
 		trees := make(map[string]*tree, len(names))
 
 		for _, name := range names {
 			trees[name] = newTree(name, names, nodes)
 		}
 
-		fed, crossing := map[string]int{}, 0
+		hasParent, crossDomain := map[string]int{}, 0
 
 		for i, node := range nodes {
-			t1 := trees[node.Name]
-			assert.Assert(t, t1.depth <= 3, "%d nodes: depth %d", size.count, t1.depth)
-			assert.Assert(t, len(t1.children) <= fanOut+size.domains)
+			nodeTree := trees[node.Name]
+			assert.Assert(t, nodeTree.depth <= 3, "%d nodes: depth %d", size.count, nodeTree.depth)
+			assert.Assert(t, len(nodeTree.children) <= fanOut+size.domains)
 
-			if t1.parent == "" {
-				assert.Equal(t, t1.rank, 0)
+			if nodeTree.parent == "" {
+				assert.Equal(t, nodeTree.rank, 0)
 				assert.Equal(t, node.Capacity, 0.8)
 
 				continue
 			}
 
-			parent := nodes[slices.Index(names, t1.parent)]
-			fed[node.Name]++
+			parent := nodes[slices.Index(names, nodeTree.parent)]
+			hasParent[node.Name]++
 
-			assert.Assert(t, slices.Contains(trees[t1.parent].children, node.Name), "node %d isn't told by its parent", i)
-			assert.Equal(t, t1.depth, max(trees[t1.parent].depth, 0)+1)
+			assert.Assert(t, slices.Contains(trees[nodeTree.parent].children, node.Name), "node %d is missing from its parent's children", i)
+			assert.Equal(t, nodeTree.depth, max(trees[nodeTree.parent].depth, 0)+1)
 
 			if parent.FailureDomain != node.FailureDomain {
-				crossing++
+				crossDomain++
 
-				assert.Equal(t, node.Capacity, 0.8, "a weak node feeds its failure domain")
+				assert.Equal(t, node.Capacity, 0.8, "a weak node is the head of its failure domain")
 			}
 		}
 
-		assert.Equal(t, len(fed), size.count-1)
+		assert.Equal(t, len(hasParent), size.count-1)
 
 		if size.count > fanOut+1 {
-			assert.Equal(t, crossing, size.domains-1)
+			assert.Equal(t, crossDomain, size.domains-1)
 		}
 	}
 }
