--- a/internal/gateway/follower/follower.go
+++ b/internal/gateway/follower/follower.go
@@ -55,15 +55,15 @@
 	Revision int64
 	// Configuration is nil if it was not written.
 	Configuration *cataloguer.Configuration
-	// Upstreams, Nodes and Quarantined are entries that were written. RemovedUpstreams (IDs), RemovedNodes (names)
-	// and RemovedQuarantines (request keys) are entries that were removed or overwritten with unreadable content. No
+	// Upstreams, Nodes and Quarantined are entries that were written. GoneUpstreams (IDs), GoneNodes (names) and
+	// Released (keys of quarantined requests) are entries that were removed or overwritten with unreadable content. No
 	// entry is in both.
-	Upstreams          []cataloguer.Upstream
-	Nodes              []cataloguer.Node
-	Quarantined        []quarantiner.Quarantine
-	RemovedUpstreams   []string
-	RemovedNodes       []string
-	RemovedQuarantines []string
+	Upstreams     []cataloguer.Upstream
+	Nodes         []cataloguer.Node
+	Quarantined   []quarantiner.Quarantine
+	GoneUpstreams []string
+	GoneNodes     []string
+	Released      []string
 }
 
 // Peers sends messages to other nodes.
--- a/internal/gateway/follower/follower_test.go
+++ b/internal/gateway/follower/follower_test.go
@@ -267,13 +267,13 @@
 
 	for id := range f.pastUpstreamIDs {
 		if !slices.Contains(f.upstreamIDs, id) {
-			changes.RemovedUpstreams = append(changes.RemovedUpstreams, id)
+			changes.GoneUpstreams = append(changes.GoneUpstreams, id)
 		}
 	}
 
 	for name := range f.pastNodes {
 		if !slices.ContainsFunc(f.nodes, func(n cataloguer.Node) bool { return n.Name == name }) {
-			changes.RemovedNodes = append(changes.RemovedNodes, name)
+			changes.GoneNodes = append(changes.GoneNodes, name)
 		}
 	}
 
--- a/internal/gateway/follower/store_reading.go
+++ b/internal/gateway/follower/store_reading.go
@@ -258,10 +258,10 @@
 	delta := cataloguer.RegistryDelta{
 		Revision:          changes.Revision,
 		UnreadableEntries: f.storeRegistry.UnreadableEntries,
-		Upstreams:         cataloguer.ListDelta[cataloguer.Upstream]{Put: changes.Upstreams, Remove: changes.RemovedUpstreams},
-		Nodes:             cataloguer.ListDelta[cataloguer.Node]{Put: changes.Nodes, Remove: changes.RemovedNodes},
+		Upstreams:         cataloguer.ListDelta[cataloguer.Upstream]{Put: changes.Upstreams, Remove: changes.GoneUpstreams},
+		Nodes:             cataloguer.ListDelta[cataloguer.Node]{Put: changes.Nodes, Remove: changes.GoneNodes},
 
-		Quarantined: cataloguer.ListDelta[quarantiner.Quarantine]{Put: changes.Quarantined, Remove: changes.RemovedQuarantines},
+		Quarantined: cataloguer.ListDelta[quarantiner.Quarantine]{Put: changes.Quarantined, Remove: changes.Released},
 	}
 	f.storeRegistry = delta.Apply(&f.storeRegistry)
 }
