--- a/internal/gateway/follower/announcing.go
+++ b/internal/gateway/follower/announcing.go
@@ -96,7 +96,7 @@
 	}
 }
 
-// HandleAnnounce answers MethodAnnounce. Success doesn't mean that the node is listed: it announces itself until it
+// HandleAnnounce answers MethodAnnounce. Success doesn't mean that the caller is listed: it announces itself until it
 // finds itself in the registry.
 func (f *Follower) HandleAnnounce(_ context.Context, _ string, params json.RawMessage) (any, error) {
 	var node cataloguer.Node
