--- a/internal/gateway/dialer/dialer.go
+++ b/internal/gateway/dialer/dialer.go
@@ -1,10 +1,10 @@
-// Package dialer exchanges requests and answers with upstreams over kept
-// connections, and tells exactly what is known of a request that failed.
+// Package dialer sends HTTP/1.1 requests to upstreams over a pool of persistent
+// connections, and reports whether a failed request may have reached the upstream.
 //
-// The connections are its own, since the client of net/http can't be told never
-// to send again: on a kept connection that breaks it repeats a GET by itself, and
-// it takes a late second answer for that of the next request. Requests are
-// written and answers read by net/http.
+// It manages its own connections because the retries of the net/http client can't
+// be disabled: when a reused connection breaks, the client resends a GET by itself,
+// and it takes a late duplicate response for the response to the next request.
+// net/http still encodes the requests and parses the responses.
 package dialer
 
 import (
@@ -18,65 +18,67 @@
 )
 
 const (
-	// dialTimeout bounds a connect. In one region it takes a few milliseconds; a lost first packet is sent again after a second.
+	// dialTimeout bounds a TCP connect. Within a region a connect takes a few milliseconds; a lost SYN is only
+	// retransmitted after a second.
 	dialTimeout = 400 * time.Millisecond
-	// userTimeout is how long sent bytes may stay unacknowledged before the connection counts as
-	// broken: a partition or a middlebox that forgot the connection shows no other way.
-	userTimeout = 1500 * time.Millisecond
-	// keepAliveInterval is the pause between probes of a connection on which nothing is sent.
+	// unackedTimeout is how long sent data may stay unacknowledged before the connection is considered
+	// broken. Nothing else detects a partition or a middlebox that dropped its connection state.
+	unackedTimeout = 1500 * time.Millisecond
+	// keepAliveInterval is the time between TCP keep-alive probes of a connection without traffic.
 	keepAliveInterval = 500 * time.Millisecond
-	// keepAliveCount is the number of probes without an answer after which it counts as broken.
-	keepAliveCount = 3
-	// idleTime is how long an idle connection is kept whose upstream doesn't tell when it closes it.
-	idleTime = 4 * time.Second
-	// mostIdleTime bounds the same where it tells. A node and an upstream of a large fleet meet once in many seconds;
-	// a connection that was given up meanwhile must be made anew.
-	mostIdleTime = 30 * time.Second
-	// idleLimit bounds the idle connections to one upstream.
-	idleLimit = 48
-	// readBuffer is the buffer of a connection in bytes.
-	readBuffer = 4 << 10
-	// inlineBody is the largest body in bytes that is written before the answer is read.
-	inlineBody = 2 << 10
-	// strayAnswers bounds the answers to earlier requests that are skipped before one's own.
-	strayAnswers = 2
-	// strayBytes bounds the body of such an answer.
-	strayBytes = 256 << 10
+	// keepAliveProbes is the number of unanswered probes after which the connection is considered broken.
+	keepAliveProbes = 3
+	// defaultIdleTimeout is how long an idle connection is kept when the upstream sends no Keep-Alive timeout.
+	defaultIdleTimeout = 4 * time.Second
+	// maxIdleTimeout bounds the timeout from a Keep-Alive header. In a large fleet, many seconds pass between the
+	// requests of one node to one upstream; a shorter bound would force a new connection for most of them.
+	maxIdleTimeout = 30 * time.Second
+	// maxIdlePerUpstream bounds the idle connections to one upstream.
+	maxIdlePerUpstream = 48
+	// bufferBytes is the size of a connection's read buffer and of its write buffer.
+	bufferBytes = 4 << 10
+	// maxInlineBodyBytes is the largest request body that is written before the response is read; a larger one is
+	// written concurrently.
+	maxInlineBodyBytes = 2 << 10
+	// maxStaleResponses bounds the skipped responses to earlier requests on a connection.
+	maxStaleResponses = 2
+	// maxStaleResponseBytes bounds the body of a skipped response.
+	maxStaleResponseBytes = 256 << 10
 )
 
 var (
-	// ErrNotSent marks failures before any byte of the request can have left.
-	ErrNotSent = errors.New("the request was not sent")
-	// ErrTooManyConnections says that this process has as many connections as it may, and all are in use.
-	ErrTooManyConnections = errors.New("all connections to upstreams are in use")
-	// ErrConnectionLost marks failures after which the request may have run.
-	ErrConnectionLost = errors.New("the connection to the upstream broke")
+	// ErrNotSent marks failures before any byte of the request was sent.
+	ErrNotSent = errors.New("request was not sent")
+	// ErrTooManyConnections is returned when the process has reached its connection limit and none is idle.
+	ErrTooManyConnections = errors.New("connection limit reached: all connections to upstreams are in use")
+	// ErrConnectionLost marks failures after which the upstream may have run the request.
+	ErrConnectionLost = errors.New("connection to the upstream was lost")
 )
 
-// Upstream is the upstream of one exchange.
+// Upstream identifies the server that a request is sent to.
 type Upstream struct {
-	// ID tells two upstreams apart that had the same address one after the other.
+	// ID distinguishes upstreams that used the same address one after the other.
 	ID      string
 	Address string
 }
 
-// Dialer keeps connections to upstreams. It is safe for concurrent use.
+// Dialer manages the connections to upstreams. It is safe for concurrent use.
 //
-// Lock order: Dialer.mu alone; it is not held during input or output.
+// Lock order: only Dialer.mu, which is not held during I/O.
 type Dialer struct {
 	dial net.Dialer
-	// most is the largest number of connections, those that are being made included.
-	most int
+	// maxOpen is the maximum number of connections, including those being established.
+	maxOpen int
 
 	mu   sync.Mutex
 	idle map[string][]*conn
-	// open counts connections; at most that many.
+	// open is the current number of connections, at most maxOpen.
 	open int
-	// opened counts connections made, reused those used again.
+	// opened counts established connections, reused the requests sent on an idle one.
 	opened, reused int64
 }
 
-// Counters count connections since the start.
+// Counters are connection statistics: Opened and Reused count since the start, Idle and Open are current numbers.
 type Counters struct {
 	Opened int64 `json:"opened"`
 	Reused int64 `json:"reused"`
@@ -86,64 +88,64 @@
 
 type conn struct {
 	net.Conn
-	dialer *Dialer
-	closed sync.Once
-	reader *bufio.Reader
-	// until is when the upstream may close the idle connection.
-	until time.Time
+	dialer      *Dialer
+	releaseOnce sync.Once
+	reader      *bufio.Reader
+	// idleUntil is when the idle connection must no longer be reused, as the upstream may close it.
+	idleUntil time.Time
 }
 
-// Close implements net.Conn and frees the connection's place.
+// Close implements net.Conn and releases the connection's place under maxOpen.
 func (c *conn) Close() error {
-	c.closed.Do(c.dialer.release)
+	c.releaseOnce.Do(c.dialer.release)
 
 	return c.Conn.Close()
 }
 
-// New returns a dialer without connections. It makes so many at most.
-func New(most int) *Dialer {
+// New returns a dialer that opens at most maxOpen connections.
+func New(maxOpen int) *Dialer {
 	return &Dialer{
-		most: most,
+		maxOpen: maxOpen,
 		dial: net.Dialer{
 			Timeout: dialTimeout,
 			KeepAliveConfig: net.KeepAliveConfig{
 				Enable:   true,
 				Idle:     keepAliveInterval,
 				Interval: keepAliveInterval,
-				Count:    keepAliveCount,
+				Count:    keepAliveProbes,
 			},
-			Control: setUserTimeout,
+			Control: setUnackedTimeout,
 		},
 		idle: make(map[string][]*conn),
 	}
 }
 
-// Counters returns the counts since the start.
+// Counters returns the connection statistics.
 func (d *Dialer) Counters() Counters {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 
 	counters := Counters{Opened: d.opened, Reused: d.reused, Open: int64(d.open)}
-	for _, kept := range d.idle {
-		counters.Idle += int64(len(kept))
+	for _, conns := range d.idle {
+		counters.Idle += int64(len(conns))
 	}
 
 	return counters
 }
 
-// Exchange sends the request and reads the header of its answer. The exchange ends with ctx,
-// also while the body is read. Errors wrap ErrNotSent or ErrBroken.
-func (d *Dialer) Exchange(ctx context.Context, target Upstream, request *Request) (*Response, error) {
-	c, err := d.connect(ctx, target)
+// Exchange sends the request and reads the response header. Cancelling ctx aborts the exchange,
+// also while the response body is read. Errors are marked with ErrNotSent or ErrConnectionLost.
+func (d *Dialer) Exchange(ctx context.Context, upstream Upstream, request *Request) (*Response, error) {
+	c, err := d.getConn(ctx, upstream)
 	if err != nil {
 		return nil, errors.Mark(err, ErrNotSent)
 	}
 
-	stop := context.AfterFunc(ctx, func() { _ = c.SetDeadline(time.Unix(1, 0)) })
+	stopWatching := context.AfterFunc(ctx, func() { _ = c.SetDeadline(time.Unix(1, 0)) })
 
 	response, err := d.exchange(c, request)
 	if err != nil {
-		stop()
+		stopWatching()
 		_ = c.Close()
 
 		if errors.Is(err, ErrNotSent) {
@@ -153,20 +155,20 @@
 		return nil, errors.Mark(err, ErrConnectionLost)
 	}
 
-	response.conn, response.dialer, response.target, response.stop = c, d, target, stop
+	response.conn, response.dialer, response.upstream, response.stopWatching = c, d, upstream, stopWatching
 	response.Body = &bodyReader{response: response, body: response.Body}
 
 	return response, nil
 }
 
 func (d *Dialer) exchange(c *conn, request *Request) (*Response, error) {
-	outgoing, err := request.outgoing()
+	outgoing, err := request.httpRequest()
 	if err != nil {
 		return nil, errors.Mark(err, ErrNotSent)
 	}
 
 	written := make(chan error, 1)
-	done := func() bool {
+	fullyWritten := func() bool {
 		select {
 		case err := <-written:
 			written <- err
@@ -177,75 +179,76 @@
 		}
 	}
 
-	if len(request.Body) <= inlineBody {
+	if len(request.Body) <= maxInlineBodyBytes {
 		written <- writeRequest(c, outgoing)
-		if !done() {
+		if !fullyWritten() {
 			return nil, errors.Wrap(<-written, "send request")
 		}
 	} else {
-		// The upstream may answer before it has read all, and a full window would block both ends.
+		// The upstream may respond before it has read the whole body; writing first would block both ends when the
+		// TCP window is full.
 		go func() { written <- writeRequest(c, outgoing) }()
 	}
 
-	answer, err := readAnswer(c.reader, outgoing, request) //nolint:bodyclose // Response.Close ends the connection of the body.
+	response, err := readResponse(c.reader, outgoing, request) //nolint:bodyclose // Response.Close closes or reuses the connection.
 	if err != nil {
 		return nil, err
 	}
 
-	return &Response{Response: answer, unwritten: func() bool { return !done() }}, nil
+	return &Response{Response: response, requestPending: func() bool { return !fullyWritten() }}, nil
 }
 
-// connect returns a kept connection that is still sound, or a new one.
-func (d *Dialer) connect(ctx context.Context, target Upstream) (*conn, error) {
+// getConn returns an idle connection that is still usable, or opens a new one.
+func (d *Dialer) getConn(ctx context.Context, upstream Upstream) (*conn, error) {
 	for {
-		kept := d.take(target.ID)
-		if kept == nil {
+		c := d.popIdle(upstream.ID)
+		if c == nil {
 			break
 		}
 
-		if time.Now().Before(kept.until) && kept.reader.Buffered() == 0 && quiet(kept.Conn) {
+		if time.Now().Before(c.idleUntil) && c.reader.Buffered() == 0 && isIdle(c.Conn) {
 			d.mu.Lock()
 			d.reused++
 			d.mu.Unlock()
 
-			return kept, nil
+			return c, nil
 		}
 
-		_ = kept.Close()
+		_ = c.Close()
 	}
 
-	return d.makeConnection(ctx, target)
+	return d.openConn(ctx, upstream)
 }
 
-// makeConnection opens a new connection.
-func (d *Dialer) makeConnection(ctx context.Context, target Upstream) (*conn, error) {
+// openConn opens a new connection to the upstream.
+func (d *Dialer) openConn(ctx context.Context, upstream Upstream) (*conn, error) {
 	if !d.reserve() {
 		return nil, ErrTooManyConnections
 	}
 
-	raw, err := d.dial.DialContext(ctx, "tcp", target.Address)
+	tcp, err := d.dial.DialContext(ctx, "tcp", upstream.Address)
 	if err != nil {
 		d.release()
 
-		return nil, errors.Wrapf(err, "connect to upstream %s", target.ID)
+		return nil, errors.Wrapf(err, "connect to upstream %s", upstream.ID)
 	}
 
 	d.mu.Lock()
 	d.opened++
 	d.mu.Unlock()
 
-	return &conn{Conn: raw, dialer: d, reader: bufio.NewReaderSize(raw, readBuffer)}, nil
+	return &conn{Conn: tcp, dialer: d, reader: bufio.NewReaderSize(tcp, bufferBytes)}, nil
 }
 
-// IsDown says whether the upstream takes no new connection. It returns false where that can't be found out. Kept
-// connections tell nothing of an upstream that lost its power.
-func (d *Dialer) IsDown(ctx context.Context, target Upstream) bool {
-	c, err := d.makeConnection(ctx, target)
+// IsDown reports whether the upstream accepts no new connection, or false if that can't be determined. It opens a new
+// connection because an idle one doesn't show that an upstream lost power.
+func (d *Dialer) IsDown(ctx context.Context, upstream Upstream) bool {
+	c, err := d.openConn(ctx, upstream)
 
 	switch {
 	case err == nil:
-		c.until = time.Now().Add(idleTime)
-		d.keep(target.ID, c)
+		c.idleUntil = time.Now().Add(defaultIdleTimeout)
+		d.putIdle(upstream.ID, c)
 
 		return false
 	case errors.Is(err, ErrTooManyConnections), errors.Is(err, context.Canceled):
@@ -255,13 +258,13 @@
 	}
 }
 
-// reserve takes the place of a new connection; where there is none left, an idle one makes room. Without a bound
-// a process that runs out of descriptors could reach neither its peers nor the store.
+// reserve reserves a place for a new connection, evicting an idle one at the limit. Without a limit,
+// a process that runs out of file descriptors could reach neither its peers nor the store.
 func (d *Dialer) reserve() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 
-	if d.open >= d.most && !d.closeIdle() {
+	if d.open >= d.maxOpen && !d.evictIdle() {
 		return false
 	}
 
@@ -270,17 +273,18 @@
 	return true
 }
 
-// closeIdle gives up one idle connection and its place; d.mu is held.
-func (d *Dialer) closeIdle() bool {
-	for id, kept := range d.idle {
-		if len(kept) == 0 {
+// evictIdle closes one idle connection and releases its place, and reports whether there was one. The caller
+// holds d.mu.
+func (d *Dialer) evictIdle() bool {
+	for id, conns := range d.idle {
+		if len(conns) == 0 {
 			continue
 		}
 
-		victim := kept[0]
-		d.idle[id] = kept[1:]
+		victim := conns[0]
+		d.idle[id] = conns[1:]
 		d.open--
-		victim.closed.Do(func() {})
+		victim.releaseOnce.Do(func() {})
 
 		go func() { _ = victim.Conn.Close() }()
 
@@ -297,27 +301,27 @@
 	d.open--
 }
 
-func (d *Dialer) take(id string) *conn {
+func (d *Dialer) popIdle(id string) *conn {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 
-	kept := d.idle[id]
-	if len(kept) == 0 {
+	conns := d.idle[id]
+	if len(conns) == 0 {
 		return nil
 	}
 
-	last := kept[len(kept)-1]
-	kept[len(kept)-1] = nil
-	d.idle[id] = kept[:len(kept)-1]
+	last := conns[len(conns)-1]
+	conns[len(conns)-1] = nil
+	d.idle[id] = conns[:len(conns)-1]
 
 	return last
 }
 
-func (d *Dialer) keep(id string, c *conn) {
+func (d *Dialer) putIdle(id string, c *conn) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 
-	if len(d.idle[id]) >= idleLimit {
+	if len(d.idle[id]) >= maxIdlePerUpstream {
 		go func() { _ = c.Close() }()
 
 		return
@@ -326,34 +330,34 @@
 	d.idle[id] = append(d.idle[id], c)
 }
 
-// CloseStale closes idle connections whose time is over and those to upstreams that aren't listed any more.
+// CloseStale closes the idle connections that have expired and those to upstreams that are no longer listed.
 func (d *Dialer) CloseStale(listed func(id string) bool) {
 	now := time.Now()
 
-	var closing []*conn
+	var stale []*conn
 
 	d.mu.Lock()
-	for id, kept := range d.idle {
-		left := kept[:0]
+	for id, conns := range d.idle {
+		remaining := conns[:0]
 
-		for _, c := range kept {
-			if listed(id) && now.Before(c.until) {
-				left = append(left, c)
+		for _, c := range conns {
+			if listed(id) && now.Before(c.idleUntil) {
+				remaining = append(remaining, c)
 			} else {
-				closing = append(closing, c)
+				stale = append(stale, c)
 			}
 		}
 
-		clear(kept[len(left):])
-		d.idle[id] = left
+		clear(conns[len(remaining):])
+		d.idle[id] = remaining
 
-		if len(left) == 0 {
+		if len(remaining) == 0 {
 			delete(d.idle, id)
 		}
 	}
 	d.mu.Unlock()
 
-	for _, c := range closing {
+	for _, c := range stale {
 		_ = c.Close()
 	}
 }
--- a/internal/gateway/dialer/dialer_test.go
+++ b/internal/gateway/dialer/dialer_test.go
@@ -18,25 +18,25 @@
 
 const idHeader = "X-Request-Id"
 
-// script is an upstream that reads requests and answers with raw bytes.
-type script struct {
+// fakeUpstream is a server that reads requests and responds with raw bytes.
+type fakeUpstream struct {
 	address     string
 	connections atomic.Int64
 	requests    atomic.Int64
-	// hold keeps the upstream from reading the rest of a body until it is closed; nil doesn't.
-	hold atomic.Pointer[chan struct{}]
+	// bodyGate, unless nil, delays reading the rest of a request body until the channel is closed.
+	bodyGate atomic.Pointer[chan struct{}]
 }
 
-// serve starts an upstream. Answer gets each request with its number on the connection and
-// returns the bytes to send, and whether to close the connection then.
-func serve(t *testing.T, answer func(request *http.Request, number int) (string, bool)) *script {
+// startUpstream starts an upstream. respond is called with each request and its number on the connection; it returns
+// the bytes to send and whether to close the connection afterwards.
+func startUpstream(t *testing.T, respond func(request *http.Request, number int) (string, bool)) *fakeUpstream {
 	t.Helper()
 
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
 
-	s := &script{address: listener.Addr().String()}
+	s := &fakeUpstream{address: listener.Addr().String()}
 
 	go func() {
 		for {
@@ -46,14 +46,14 @@
 			}
 
 			s.connections.Add(1)
-			go s.handle(conn, answer)
+			go s.handle(conn, respond)
 		}
 	}()
 
 	return s
 }
 
-func (s *script) handle(conn net.Conn, answer func(*http.Request, int) (string, bool)) {
+func (s *fakeUpstream) handle(conn net.Conn, respond func(*http.Request, int) (string, bool)) {
 	defer conn.Close()
 
 	reader := bufio.NewReader(conn)
@@ -65,13 +65,13 @@
 		}
 
 		s.requests.Add(1)
-		text, end := answer(request, number)
+		response, closeConn := respond(request, number)
 
-		if _, err := io.WriteString(conn, text); err != nil || end {
+		if _, err := io.WriteString(conn, response); err != nil || closeConn {
 			return
 		}
 
-		if hold := s.hold.Load(); hold != nil {
+		if hold := s.bodyGate.Load(); hold != nil {
 			<-*hold
 		}
 
@@ -79,19 +79,19 @@
 	}
 }
 
-func reply(id, body string) string {
+func okResponse(id, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", idHeader, id, len(body), body)
 }
 
-func get(id string) *dialer.Request {
+func getRequest(id string) *dialer.Request {
 	return &dialer.Request{
 		Method: http.MethodGet, Host: "desk.example", URI: "/price/7?x=%2F",
 		Header: http.Header{idHeader: {id}, "User-Agent": {""}}, IDHeader: idHeader, ID: id,
 	}
 }
 
-// exchange sends a request and returns the body.
-func exchange(d *dialer.Dialer, s *script, request *dialer.Request) (string, error) {
+// exchange sends a request and returns the response body.
+func exchange(d *dialer.Dialer, s *fakeUpstream, request *dialer.Request) (string, error) {
 	response, err := d.Exchange(context.Background(), dialer.Upstream{ID: "u", Address: s.address}, request)
 	if err != nil {
 		return "", err
@@ -103,12 +103,14 @@
 	return string(body), err
 }
 
-func TestConnectionsAreKept(t *testing.T) {
-	s := serve(t, func(r *http.Request, _ int) (string, bool) { return reply(r.Header.Get(idHeader), r.RequestURI), false })
+func TestConnectionsAreReused(t *testing.T) {
+	s := startUpstream(t, func(r *http.Request, _ int) (string, bool) {
+		return okResponse(r.Header.Get(idHeader), r.RequestURI), false
+	})
 	d := dialer.New(1000)
 
 	for i := range 5 {
-		body, err := exchange(d, s, get(fmt.Sprint(i)))
+		body, err := exchange(d, s, getRequest(fmt.Sprint(i)))
 		assert.NilError(t, err)
 		assert.Equal(t, body, "/price/7?x=%2F")
 	}
@@ -119,39 +121,38 @@
 	assert.Equal(t, d.Counters().Idle, int64(0))
 }
 
-// Symptom: a caller gets the answer to somebody else's request.
-// Sequence: the upstream sends a second answer to request 1 when request 2 has just been sent.
-// Cause: answers were matched to requests by their order alone.
+// Guards against returning another caller's response: the upstream sends a duplicate response to request 1 after
+// request 2 was sent, and responses are matched to requests only by their order.
 func TestLateSecondAnswerIsSkipped(t *testing.T) {
-	s := serve(t, func(r *http.Request, number int) (string, bool) {
-		text := reply(r.Header.Get(idHeader), "answer "+r.Header.Get(idHeader))
+	s := startUpstream(t, func(r *http.Request, number int) (string, bool) {
+		text := okResponse(r.Header.Get(idHeader), "answer "+r.Header.Get(idHeader))
 		if number == 2 {
-			text = reply("one", "answer one") + text
+			text = okResponse("one", "answer one") + text
 		}
 
 		return text, false
 	})
 	d := dialer.New(1000)
 
-	_, err := exchange(d, s, get("one"))
+	_, err := exchange(d, s, getRequest("one"))
 	assert.NilError(t, err)
-	body, err := exchange(d, s, get("two"))
+	body, err := exchange(d, s, getRequest("two"))
 	assert.NilError(t, err)
 	assert.Equal(t, body, "answer two")
 }
 
-// Symptom: the same, where the second answer comes before the next request is sent.
-// Cause: a kept connection was used again although bytes waited on it.
+// Guards against reusing an idle connection that has unread bytes: a duplicate response that arrives before the next
+// request is sent would be returned for that request.
 func TestConnectionWithStrayBytesIsNotUsedAgain(t *testing.T) {
-	s := serve(t, func(r *http.Request, _ int) (string, bool) {
-		text := reply(r.Header.Get(idHeader), "x")
+	s := startUpstream(t, func(r *http.Request, _ int) (string, bool) {
+		text := okResponse(r.Header.Get(idHeader), "x")
 
 		return text + text, false
 	})
 	d := dialer.New(1000)
 
 	for i := range 3 {
-		body, err := exchange(d, s, get(fmt.Sprint(i)))
+		body, err := exchange(d, s, getRequest(fmt.Sprint(i)))
 		assert.NilError(t, err)
 		assert.Equal(t, body, "x")
 	}
@@ -159,72 +160,70 @@
 	assert.Equal(t, s.connections.Load(), int64(3))
 }
 
-// Symptom: a call that must run once runs twice, and nothing shows it.
-// Sequence: a GET goes out on a kept connection; the upstream runs it and closes without an answer.
-// Cause: net/http's client sends such a request again by itself.
+// Guards against running a request twice unnoticed: a GET is sent on a reused connection, and the upstream runs it and
+// closes the connection without a response. The net/http client resends such a request by itself.
 func TestRequestIsNeverSentAgainByItself(t *testing.T) {
-	s := serve(t, func(r *http.Request, number int) (string, bool) {
+	s := startUpstream(t, func(r *http.Request, number int) (string, bool) {
 		if number == 2 {
 			return "", true
 		}
 
-		return reply(r.Header.Get(idHeader), "x"), false
+		return okResponse(r.Header.Get(idHeader), "x"), false
 	})
 	d := dialer.New(1000)
 
-	_, err := exchange(d, s, get("one"))
+	_, err := exchange(d, s, getRequest("one"))
 	assert.NilError(t, err)
-	_, err = exchange(d, s, get("two"))
+	_, err = exchange(d, s, getRequest("two"))
 	assert.Assert(t, errors.Is(err, dialer.ErrConnectionLost))
 	assert.Equal(t, s.requests.Load(), int64(2))
 }
 
-// Symptom: an upstream reads the rest of one body as another request.
-// Sequence: it answers a long request before it has read all; the connection is used again.
-// Cause: the answer's end was taken for the end of the exchange.
+// Guards against an upstream that reads the rest of one body as another request: it responds to a long request before
+// it has read the whole body, and the connection is reused once the response is complete.
 func TestConnectionOfAnEarlyAnswerIsNotUsedAgain(t *testing.T) {
-	s := serve(t, func(r *http.Request, _ int) (string, bool) { return reply(r.Header.Get(idHeader), "early"), false })
+	s := startUpstream(t, func(r *http.Request, _ int) (string, bool) { return okResponse(r.Header.Get(idHeader), "early"), false })
 	d := dialer.New(1000)
 
 	hold := make(chan struct{})
-	s.hold.Store(&hold)
+	s.bodyGate.Store(&hold)
 	t.Cleanup(func() { close(hold) })
 
-	long := get("one")
+	long := getRequest("one")
 	long.Method, long.Body = http.MethodPost, make([]byte, 8<<20)
 	_, _ = exchange(d, s, long)
 
-	body, err := exchange(d, s, get("two"))
+	body, err := exchange(d, s, getRequest("two"))
 	assert.NilError(t, err)
 	assert.Equal(t, body, "early")
 	assert.Equal(t, s.connections.Load(), int64(2))
 }
 
-// Symptom: half an answer looks like a whole one.
-// Sequence: the upstream ends the connection in the middle of a body.
-func TestBrokenBodyIsAnError(t *testing.T) {
-	s := serve(t, func(r *http.Request, _ int) (string, bool) {
-		return reply(r.Header.Get(idHeader), "whole answer")[:65], true
+// Guards against accepting a truncated response as complete when the upstream closes the connection in the middle of
+// a body.
+func TestTruncatedBodyIsAnError(t *testing.T) {
+	s := startUpstream(t, func(r *http.Request, _ int) (string, bool) {
+		return okResponse(r.Header.Get(idHeader), "whole answer")[:65], true
 	})
 
-	_, err := exchange(dialer.New(1000), s, get("one"))
+	_, err := exchange(dialer.New(1000), s, getRequest("one"))
 	assert.Assert(t, err != nil)
 }
 
-func TestRefusedConnectionWasNotSent(t *testing.T) {
+func TestRefusedConnectionIsErrNotSent(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	assert.NilError(t, listener.Close())
 
-	_, err = exchange(dialer.New(1000), &script{address: listener.Addr().String()}, get("one"))
+	_, err = exchange(dialer.New(1000), &fakeUpstream{address: listener.Addr().String()}, getRequest("one"))
 	assert.Assert(t, errors.Is(err, dialer.ErrNotSent))
 }
 
-// Symptom: an upstream works on for a caller who left.
-// Sequence: the caller's context ends while the upstream is silent.
+// Guards against an upstream that keeps working for a caller that is gone: the caller's context is cancelled before
+// the upstream responds, and the connection must be closed.
 func TestExchangeEndsWithItsContext(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
-	gone := make(chan struct{})
+	closed := make(chan struct{})
 
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -238,30 +237,30 @@
 
 		_, _ = http.ReadRequest(bufio.NewReader(conn))
 		cancel()
-		// The read ends when the other side closes.
+		// The read returns when the other side closes the connection.
 		_, _ = conn.Read(make([]byte, 1))
-		close(gone)
+		close(closed)
 	}()
 
-	_, err = dialer.New(1000).Exchange(ctx, dialer.Upstream{ID: "u", Address: listener.Addr().String()}, get("one"))
+	_, err = dialer.New(1000).Exchange(ctx, dialer.Upstream{ID: "u", Address: listener.Addr().String()}, getRequest("one"))
 	assert.Assert(t, errors.Is(err, dialer.ErrConnectionLost))
-	<-gone
+	<-closed
 }
 
-// Symptom: a node under load reaches neither its peers nor the store.
-// Sequence: it opens a connection for each request that waits at slow upstreams, until it has no descriptor left.
-// Cause: nothing bounded its connections. An idle one makes room; else the request is told that it was not sent.
+// Guards against a node under load that reaches neither its peers nor the store: without a limit it opens a connection
+// for each request at slow upstreams until it runs out of file descriptors. At the limit, an idle connection is evicted;
+// if there is none, the request fails as not sent.
 func TestConnectionsAreBounded(t *testing.T) {
-	answer := func(request *http.Request, _ int) (string, bool) {
+	respond := func(request *http.Request, _ int) (string, bool) {
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: 2\r\n\r\nok", idHeader, request.Header.Get(idHeader)), false
 	}
-	first, second := serve(t, answer), serve(t, answer)
+	first, second := startUpstream(t, respond), startUpstream(t, respond)
 	d := dialer.New(1)
 
-	response, err := d.Exchange(context.Background(), dialer.Upstream{ID: "first", Address: first.address}, get("one"))
+	response, err := d.Exchange(context.Background(), dialer.Upstream{ID: "first", Address: first.address}, getRequest("one"))
 	assert.NilError(t, err)
 
-	_, err = d.Exchange(context.Background(), dialer.Upstream{ID: "second", Address: second.address}, get("two"))
+	_, err = d.Exchange(context.Background(), dialer.Upstream{ID: "second", Address: second.address}, getRequest("two"))
 	assert.Assert(t, errors.Is(err, dialer.ErrTooManyConnections))
 	assert.Assert(t, errors.Is(err, dialer.ErrNotSent))
 
@@ -270,7 +269,7 @@
 	response.Close()
 	assert.Equal(t, d.Counters().Idle, int64(1))
 
-	response, err = d.Exchange(context.Background(), dialer.Upstream{ID: "second", Address: second.address}, get("three"))
+	response, err = d.Exchange(context.Background(), dialer.Upstream{ID: "second", Address: second.address}, getRequest("three"))
 	assert.NilError(t, err)
 	assert.Equal(t, d.Counters().Open, int64(1))
 	assert.Equal(t, d.Counters().Idle, int64(0))
--- a/internal/gateway/dialer/request.go
+++ b/internal/gateway/dialer/request.go
@@ -11,34 +11,34 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Request is one request; it may be sent several times.
+// Request is an HTTP request that can be sent several times.
 type Request struct {
 	Method string
-	// Host and URI are sent as they are.
+	// Host and URI are sent unchanged.
 	Host string
 	URI  string
-	// Header must not be changed while an exchange runs.
+	// Header must not be modified during an exchange.
 	Header http.Header
 	Body   []byte
-	// IDHeader names the header that the upstream repeats in its answer; ID is its value.
+	// IDHeader is the name of the header that the upstream repeats in its response; ID is its value.
 	IDHeader string
 	ID       string
 }
 
-// outgoing returns the request as net/http writes it.
-func (r *Request) outgoing() (*http.Request, error) {
-	target := &url.URL{Scheme: "http", Host: r.Host, Opaque: r.URI}
+// httpRequest converts the request for net/http.
+func (r *Request) httpRequest() (*http.Request, error) {
+	requestURL := &url.URL{Scheme: "http", Host: r.Host, Opaque: r.URI}
 
 	if strings.HasPrefix(r.URI, "//") || !strings.HasPrefix(r.URI, "/") {
 		parsed, err := url.ParseRequestURI(r.URI)
 		if err != nil {
-			return nil, errors.Wrap(err, "parse the path")
+			return nil, errors.Wrap(err, "parse request URI")
 		}
 
-		target = parsed
+		requestURL = parsed
 	}
 
-	outgoing := &http.Request{Method: r.Method, URL: target, Host: r.Host, Header: r.Header, ProtoMajor: 1, ProtoMinor: 1}
+	outgoing := &http.Request{Method: r.Method, URL: requestURL, Host: r.Host, Header: r.Header, ProtoMajor: 1, ProtoMinor: 1}
 
 	if len(r.Body) > 0 {
 		outgoing.Body = io.NopCloser(bytes.NewReader(r.Body))
@@ -49,7 +49,7 @@
 }
 
 func writeRequest(c *conn, outgoing *http.Request) error {
-	writer := bufio.NewWriterSize(c, readBuffer)
+	writer := bufio.NewWriterSize(c, bufferBytes)
 	if err := outgoing.Write(writer); err != nil {
 		return err
 	}
@@ -57,41 +57,41 @@
 	return writer.Flush()
 }
 
-// readAnswer reads the answer to the request. An upstream may send a second answer to an earlier
-// request; taken for the next one's it would give a caller somebody else's answer. The id tells.
-func readAnswer(reader *bufio.Reader, outgoing *http.Request, request *Request) (*http.Response, error) {
-	for range strayAnswers + 1 {
-		answer, err := readFinal(reader, outgoing)
+// readResponse reads the response to the request and skips responses with another request ID. An upstream may send
+// a duplicate response to an earlier request; without the check, a caller could receive another caller's response.
+func readResponse(reader *bufio.Reader, outgoing *http.Request, request *Request) (*http.Response, error) {
+	for range maxStaleResponses + 1 {
+		response, err := readFinalResponse(reader, outgoing)
 		if err != nil {
 			return nil, err
 		}
 
-		if id := answer.Header.Get(request.IDHeader); id == "" || id == request.ID {
-			return answer, nil
+		if id := response.Header.Get(request.IDHeader); id == "" || id == request.ID {
+			return response, nil
 		}
 
-		if n, err := io.Copy(io.Discard, io.LimitReader(answer.Body, strayBytes)); err != nil || n == strayBytes {
-			return nil, errors.New("the answer to another request is too long")
+		if n, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxStaleResponseBytes)); err != nil || n == maxStaleResponseBytes {
+			return nil, errors.New("stale response to an earlier request is too large")
 		}
 	}
 
-	return nil, errors.New("the upstream answers other requests")
+	return nil, errors.New("too many responses to other requests")
 }
 
-// readFinal skips interim answers.
-func readFinal(reader *bufio.Reader, outgoing *http.Request) (*http.Response, error) {
+// readFinalResponse reads a response and skips interim (1xx) ones.
+func readFinalResponse(reader *bufio.Reader, outgoing *http.Request) (*http.Response, error) {
 	for {
-		answer, err := http.ReadResponse(reader, outgoing)
+		response, err := http.ReadResponse(reader, outgoing)
 		if err != nil {
-			return nil, errors.Wrap(err, "read answer")
+			return nil, errors.Wrap(err, "read response")
 		}
 
-		if answer.StatusCode >= http.StatusOK {
-			return answer, nil
+		if response.StatusCode >= http.StatusOK {
+			return response, nil
 		}
 
-		if answer.StatusCode == http.StatusSwitchingProtocols {
-			return nil, errors.New("the upstream switches protocols")
+		if response.StatusCode == http.StatusSwitchingProtocols {
+			return nil, errors.New("upstream switched protocols")
 		}
 	}
 }
--- a/internal/gateway/dialer/response.go
+++ b/internal/gateway/dialer/response.go
@@ -9,34 +9,34 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Response is an answer whose header was read. Close must be called.
+// Response is a response whose header has been read. The caller must call Close.
 type Response struct {
 	*http.Response
-	conn     *conn
-	dialer   *Dialer
-	target   Upstream
-	stop     func() bool
-	complete bool
-	// unwritten says that the answer came before the request was sent whole.
-	unwritten func() bool
+	conn         *conn
+	dialer       *Dialer
+	upstream     Upstream
+	stopWatching func() bool
+	bodyComplete bool
+	// requestPending reports whether the request has not been written completely.
+	requestPending func() bool
 }
 
-// Close ends the exchange. The connection is kept only when the answer was read whole, the
-// request was sent whole, and neither end wants to close it.
+// Close ends the exchange. The connection is reused only if the response was read and the request written
+// completely, neither end wants to close it, and no further bytes have arrived.
 func (r *Response) Close() {
-	stopped := r.stop()
+	stopped := r.stopWatching()
 
-	if !stopped || !r.complete || r.Response.Close || r.unwritten() || r.conn.reader.Buffered() > 0 {
+	if !stopped || !r.bodyComplete || r.Response.Close || r.requestPending() || r.conn.reader.Buffered() > 0 {
 		_ = r.conn.Close()
 
 		return
 	}
 
-	r.conn.until = time.Now().Add(keepTime(r.Header.Get("Keep-Alive")))
-	r.dialer.keep(r.target.ID, r.conn)
+	r.conn.idleUntil = time.Now().Add(idleTimeout(r.Header.Get("Keep-Alive")))
+	r.dialer.putIdle(r.upstream.ID, r.conn)
 }
 
-// bodyReader notes the sound end of a body.
+// bodyReader records when a body has been read completely.
 type bodyReader struct {
 	response *Response
 	body     io.ReadCloser
@@ -48,7 +48,7 @@
 
 	switch {
 	case errors.Is(err, io.EOF):
-		b.response.complete = true
+		b.response.bodyComplete = true
 	case err != nil && errors.Is(err, os.ErrDeadlineExceeded):
 		err = errors.Mark(err, ErrConnectionLost)
 	}
@@ -56,5 +56,5 @@
 	return n, err
 }
 
-// Close implements io.Closer; the connection is closed with the response.
+// Close implements io.Closer. It does nothing, since Response.Close handles the connection.
 func (b *bodyReader) Close() error { return nil }
--- a/internal/gateway/dialer/socket.go
+++ b/internal/gateway/dialer/socket.go
@@ -10,49 +10,50 @@
 	"golang.org/x/sys/unix"
 )
 
-// setUserTimeout bounds the time for which sent bytes may stay unacknowledged.
-func setUserTimeout(_, _ string, raw syscall.RawConn) error {
-	var failed error
+// setUnackedTimeout sets TCP_USER_TIMEOUT, which bounds how long sent data may stay unacknowledged.
+func setUnackedTimeout(_, _ string, raw syscall.RawConn) error {
+	var optionErr error
 
 	if err := raw.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
+		optionErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
 	}); err != nil {
 		return err
 	}
 
-	return failed
+	return optionErr
 }
 
-// quiet says that nothing came on an idle connection: no end, no reset, and no
-// bytes. Bytes that come unasked are the rest of an earlier answer or a second
-// one, and would be read as the answer to the next request.
-func quiet(c net.Conn) bool {
-	holder, ok := c.(syscall.Conn)
+// isIdle reports whether nothing was received on an idle connection: no close, no reset and no
+// data. Unexpected data is the rest of an earlier response or a duplicate one, and
+// would be read as the response to the next request.
+func isIdle(c net.Conn) bool {
+	syscallConn, ok := c.(syscall.Conn)
 	if !ok {
 		return true
 	}
 
-	raw, err := holder.SyscallConn()
+	raw, err := syscallConn.SyscallConn()
 	if err != nil {
 		return false
 	}
 
-	silent := false
+	idle := false
 	err = raw.Read(func(fd uintptr) bool {
 		var buffer [1]byte
 
 		_, _, err := unix.Recvfrom(int(fd), buffer[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		silent = err == unix.EAGAIN
+		idle = err == unix.EAGAIN
 
 		return true
 	})
 
-	return err == nil && silent
+	return err == nil && idle
 }
 
-// keepTime is how long an idle connection may be used again. An upstream tells in whole seconds
-// when it closes it; a request sent at that moment would be lost, so the last part is left out.
-func keepTime(header string) time.Duration {
+// idleTimeout returns how long an idle connection may be reused, from the value of a Keep-Alive header. The upstream
+// states in whole seconds when it closes the connection, and a request sent at that moment would be lost, so only 70%
+// of that time is used.
+func idleTimeout(header string) time.Duration {
 	for part := range strings.SplitSeq(header, ",") {
 		name, value, found := strings.Cut(strings.TrimSpace(part), "=")
 		if !found || !strings.EqualFold(strings.TrimSpace(name), "timeout") {
@@ -64,8 +65,8 @@
 			break
 		}
 
-		return min(time.Duration(seconds)*time.Second*7/10, mostIdleTime)
+		return min(time.Duration(seconds)*time.Second*7/10, maxIdleTimeout)
 	}
 
-	return idleTime
+	return defaultIdleTimeout
 }
