--- a/internal/scheduler/learning.go
+++ b/internal/scheduler/learning.go
@@ -109,10 +109,10 @@
 	p.gaps.add(now, gap, g.server.inFlight)
 
 	strictest := g.server.strictestGap(p.classes).Seconds()
-	gapVerdict := compareWithBound(gap, gapMargin*strictest, p.gaps.fastest.value, gapExcess)
+	gapChange := compareWithBound(gap, gapMargin*strictest, p.gaps.fastest.value, gapExcess)
 
-	if gapVerdict == limitDecrease || report.FirstToken <= 0 || g.request.Progress > 0 {
-		return min(gapVerdict, limitHold)
+	if gapChange == limitDecrease || report.FirstToken <= 0 || g.request.Progress > 0 {
+		return min(gapChange, limitHold)
 	}
 
 	g.class.firstToken.addDuration(report.FirstToken)
@@ -121,7 +121,7 @@
 		g.class.unqueuedTime.add(now, report.FirstToken.Seconds())
 	}
 
-	return min(gapVerdict, g.class.compareWithTarget(report.FirstToken))
+	return min(gapChange, g.class.compareWithTarget(report.FirstToken))
 }
 
 // compareWithTarget compares a first token, or the whole time of a plain answer, with the class's own
--- a/internal/scheduler/learning_test.go
+++ b/internal/scheduler/learning_test.go
@@ -107,14 +107,14 @@
 	assert.DeepEqual(t, describe(p.Tick(s.closedUntil)), []string{"grant r"})
 }
 
-func TestOneSilenceDoesNotCloseAServer(t *testing.T) {
+func TestOneSilentResultDoesNotCloseServer(t *testing.T) {
 	p := New(testService(1, 4), Options{Headroom: -1})
 	held := fill(p, epoch, "chat", 1)
 	p.Finish(epoch.Add(time.Second), held[0], Report{Result: dispatcher.ResultSilent})
 	assert.Assert(t, p.server("e01").isOpen(epoch.Add(time.Second)))
 }
 
-func TestAllServersClosedAreUsedAllTheSame(t *testing.T) {
+func TestClosedServersAreUsedWhenAllAreClosed(t *testing.T) {
 	p := New(testService(1, 4), Options{Headroom: -1})
 	held := fill(p, epoch, "chat", 1)
 	now := epoch.Add(time.Second)
@@ -146,7 +146,7 @@
 // engine priority. Two concurrent holders fill a server; the remaining one adopts all attempts, so the
 // server is far above its limit when a lookup arrives. Only servers within their limits were
 // preempted, and nobody could use a slot that was released above the limit.
-func TestTierOneTakesTheVacatedPlaceAboveTheLimit(t *testing.T) {
+func TestTierOneUsesVacatedSlotAboveLimit(t *testing.T) {
 	p := New(testService(1, 1), Options{Headroom: -1, FixedSlots: true})
 
 	var flights []InFlight
@@ -231,7 +231,7 @@
 
 // Guards against a slot that stays taken after its answer ended: the release arrives before an older
 // report of the entry, which restored the grant.
-func TestLateReportDoesNotBringAGrantBack(t *testing.T) {
+func TestLateReportDoesNotRestoreEndedGrant(t *testing.T) {
 	p := New(testService(1, 1), Options{Headroom: -1})
 	held := fill(p, epoch, "chat", 1)[0]
 	p.Finish(epoch.Add(time.Second), held, done(time.Second))
@@ -239,7 +239,7 @@
 	assert.Equal(t, p.Stats().InFlight["e01"], 0)
 }
 
-func TestForgetFreesAllOfAnEntry(t *testing.T) {
+func TestRemoveEntryFreesItsGrantsAndRequests(t *testing.T) {
 	p := New(testService(1, 1), Options{Headroom: -1})
 	fill(p, epoch, "chat", 2)
 
@@ -250,7 +250,7 @@
 	assert.Equal(t, p.Stats().Queued["chat"], 0)
 }
 
-func TestRetryAfterDiffersButRepeats(t *testing.T) {
+func TestRetryAfterJitterIsDeterministic(t *testing.T) {
 	waits := map[time.Duration]bool{}
 
 	for i := range 8 {
@@ -274,7 +274,7 @@
 // Guards against running twice the slots of a server after a holder's pause. A request is withdrawn at
 // this holder and granted by another one; this holder adopts the grant, and the late cancel of the
 // request freed it.
-func TestCancelSparesWhatAnotherHolderGranted(t *testing.T) {
+func TestCancelKeepsGrantOfAnotherHolder(t *testing.T) {
 	p := New(testService(1, 1), Options{Headroom: -1})
 	flight := InFlight{GrantID: "other/1", RequestID: "r", Upstream: "e01", Class: "chat", Organisation: "a", StartedAt: epoch}
 	p.Reconcile(epoch, "n1", []InFlight{flight})
@@ -287,7 +287,7 @@
 // Guards against counter lookups that waited 5 s and were refused while slots were free. Some servers
 // run answers with slow tokens and count as stragglers, the others are full of tier 1, and tier 1
 // never used a straggler while another server was open.
-func TestLateTierOneTakesAStraggler(t *testing.T) {
+func TestLateTierOneUsesStraggler(t *testing.T) {
 	p := New(testService(2, 1), Options{Headroom: -1, FixedSlots: true})
 	p.servers[0].relativeTime, p.servers[0].relativeTimeAt = 5, epoch
 	fill(p, epoch, "counter", 1)
@@ -301,7 +301,7 @@
 
 // Guards against refusing counter lookups at once while all slots run notes of twenty seconds and some
 // lookups arrive together. The estimate waited for the notes to end although they are preempted.
-func TestLongLowerAnswersDoNotShedTierOne(t *testing.T) {
+func TestLongLowerTierAnswersDoNotRefuseTierOne(t *testing.T) {
 	p := New(testService(1, 4), Options{Headroom: -1, FixedSlots: true})
 	now := epoch
 
--- a/internal/scheduler/limit_test.go
+++ b/internal/scheduler/limit_test.go
@@ -156,7 +156,7 @@
 // the engine runs. The full engine queues by priority, so counter and chat answers still start at once
 // and each raised the limit; granted notes wait inside the engine behind all others. Answers of higher
 // tiers don't reveal an engine's queue.
-func TestLimitStaysNearWhatTheEngineRuns(t *testing.T) {
+func TestLimitStaysNearEngineCapacity(t *testing.T) {
 	b := newBatchEngine(8, 8)
 	ended := b.overload(10 * time.Minute)
 	limit := b.pool.Stats().Limit["e01"]
@@ -167,7 +167,7 @@
 // Guards against a limit of 32 and counter answers at 45 ms per token after minutes of overload. All
 // answers are slow for long, so the fastest known time rises and nothing counts as slow. The estimate
 // for an empty server must not follow the number of samples.
-func TestLongOverloadDoesNotPassForTheUsual(t *testing.T) {
+func TestLongOverloadDoesNotRaiseFastestGap(t *testing.T) {
 	b := newBatchEngine(8, 256)
 	b.overload(15 * time.Minute)
 	limit := b.pool.Stats().Limit["e01"]
@@ -182,7 +182,7 @@
 // differ in length; the first token of a long one looks like a queue in the engine and took back what
 // was learned; the limit then rose by one per round from the slots of the settings. The search was as
 // slow as the later adjustment, and a single answer had too much weight.
-func TestLimitFindsTheEngineWithinAMinute(t *testing.T) {
+func TestLimitReachesEngineCapacityWithinAMinute(t *testing.T) {
 	b := newBatchEngine(4, 16)
 	b.unevenPrompts = true
 	b.overload(time.Minute)
@@ -194,7 +194,7 @@
 // Guards against refusing a counter lookup after it met three failed servers in 7 ms. A third of the
 // servers fails; each one reopens after its first close time as the emptiest server, and tier 1 tried
 // it like any other.
-func TestTierOneKeepsOffAServerThatFailed(t *testing.T) {
+func TestTierOneAvoidsFailedServer(t *testing.T) {
 	p := New(testService(2, 4), Options{Headroom: -1})
 	first := p.Submit(epoch, ask("c1", "counter"))[0]
 	p.Finish(epoch, first.GrantID, Report{Result: dispatcher.ResultNotSent})
--- a/internal/scheduler/pool_test.go
+++ b/internal/scheduler/pool_test.go
@@ -188,7 +188,7 @@
 	assert.DeepEqual(t, got, []string{"refuse n", "refuse c", "refuse late"})
 }
 
-func TestOverflowRefusesTheNewestOfTheLowestTier(t *testing.T) {
+func TestFullQueueRefusesNewestOfLowestTier(t *testing.T) {
 	p := New(testService(1, 1), Options{MaxQueue: 2, NoPreemption: true})
 	fill(p, epoch, "counter", 1)
 	p.Submit(epoch, ask("n1", "notes"))
@@ -250,7 +250,7 @@
 	assert.Equal(t, p.Stats().Queued["chat"], 1)
 }
 
-func TestSettingsChangeKeepsWhatRuns(t *testing.T) {
+func TestSettingsChangeKeepsRunningGrants(t *testing.T) {
 	p := New(testService(2, 1), Options{Headroom: -1})
 	held := fill(p, epoch, "chat", 2)
 	p.Update(testService(1, 1))
@@ -269,7 +269,7 @@
 // when told to, 384 were served within six attempts. Retry-After covered only the current queue, which
 // is short because the refused callers are not in it; it did not count the others that were told to
 // retry.
-func TestRefusedRequestsComeBackOneAfterAnother(t *testing.T) {
+func TestRetryAfterSpreadsRefusedRequests(t *testing.T) {
 	service := withClass(testService(1, 1), "chat", func(c *configurer.Class) { c.MaxWait = 4 * time.Second })
 	p := New(service, Options{Headroom: -1, FixedSlots: true})
 	now := epoch
@@ -300,7 +300,7 @@
 // times the capacity, within 0.7 s, while notes of tier 4 all met their targets. One first token in
 // twenty is later than the target. The estimate used the 95th percentile of the start instead of the
 // mean, so any wait at all seemed to miss the target.
-func TestRareLateStartsDoNotMakeWaitingHopeless(t *testing.T) {
+func TestRareLateStartsDoNotRefuseWaitingRequests(t *testing.T) {
 	p := New(testService(1, 1), Options{Headroom: -1, FixedSlots: true})
 	now := epoch
 
@@ -322,7 +322,7 @@
 // Guards against site clearances that waited up to 0.6 s at 0.6 times the capacity. One server ran a
 // few long answers and counted as a straggler; tier 1 avoided it and waited, as all requests of a
 // plain service are tier 1. The time of a plain answer depends more on its work than on its server.
-func TestPlainServerIsNoStragglerByChance(t *testing.T) {
+func TestFewLongPlainAnswersDoNotMarkStraggler(t *testing.T) {
 	service := testService(2, 2)
 	service.Kind = configurer.KindPlain
 	p := New(service, Options{Headroom: -1, FixedSlots: true})
@@ -345,7 +345,7 @@
 	assert.Assert(t, slow <= stragglerRatio, "slow %.2f", slow)
 }
 
-func TestPlainTierOneTakesAStragglerBeforeItWaits(t *testing.T) {
+func TestPlainTierOneUsesStragglerBeforeWaiting(t *testing.T) {
 	service := testService(2, 1)
 	service.Kind = configurer.KindPlain
 	p := New(service, Options{Headroom: -1, FixedSlots: true})
--- a/internal/scheduler/spare_test.go
+++ b/internal/scheduler/spare_test.go
@@ -13,7 +13,7 @@
 // Guards against second copies of slow requests that take slots from waiting requests or preempt
 // running ones. Copies are submitted while the pool is full, while a request is waiting, and while a
 // slot is free; they must not be queued like first attempts.
-func TestSpareTakesOnlyWhatNobodyWaitsFor(t *testing.T) {
+func TestSpareGetsOnlyUnclaimedSlot(t *testing.T) {
 	start := time.Date(2026, time.April, 2, 8, 0, 0, 0, time.UTC)
 	p := New(testService(1, 1), Options{FixedSlots: true, Headroom: -1})
 
@@ -51,7 +51,7 @@
 // Guards against a copy that fills a server beyond its limit after a holder crashed, or overtakes a
 // waiting request. Copies are submitted while capacity is unknown, and while a request is waiting that
 // excludes the only free server; the free slot must not be treated as unclaimed.
-func TestSpareWaitsForNothingAndOvertakesNobody(t *testing.T) {
+func TestSpareNeitherWaitsNorOvertakes(t *testing.T) {
 	start := time.Date(2026, time.April, 2, 8, 0, 0, 0, time.UTC)
 
 	for _, class := range []string{"counter", "chat"} {
