--- a/internal/gateway/balancer/engines_test.go
+++ b/internal/gateway/balancer/engines_test.go
@@ -119,5 +119,5 @@
 	report := p.Report(at(0))[0]
 	assert.Equal(t, report.Running, 20)
 	assert.Equal(t, report.BacklogTokens, 0.0)
-	assert.Equal(t, report.Speed, 1.0)
+	assert.Equal(t, report.Slowdown, 1.0)
 }
--- a/internal/gateway/balancer/report.go
+++ b/internal/gateway/balancer/report.go
@@ -14,8 +14,8 @@
 	Foreign float64 `json:"foreign"`
 	// BacklogTokens is the prompt work that has no first event yet.
 	BacklogTokens float64 `json:"backlog_tokens"`
-	// Speed is the learned ratio of real to expected times.
-	Speed float64 `json:"speed"`
+	// Slowdown is the learned ratio of real to expected times.
+	Slowdown float64 `json:"speed"`
 	// Failures is the recent share of failed requests.
 	Failures float64 `json:"failures"`
 	// OverdueMS is how much longer than expected it has answered nothing.
@@ -43,7 +43,7 @@
 			Running:       len(s.running),
 			Foreign:       s.foreignNow(now),
 			BacklogTokens: s.backlog,
-			Speed:         s.speedNow(now),
+			Slowdown:      s.speedNow(now),
 			Failures:      s.failuresNow(now),
 			OverdueMS:     s.overdue(now),
 			Draining:      s.Draining,
