--- a/internal/gateway/broker/broker.go
+++ b/internal/gateway/broker/broker.go
@@ -92,7 +92,7 @@
 	nodeChooser   *chooser.Chooser
 	liveNodes     []string
 	liveCheckedAt time.Time
-	// holders caches the holder and the standby of each pool. It is cleared when the live nodes change.
+	// holders caches the holder and the standby of each pool. It is cleared when the live nodes or the partitions change.
 	holders map[string][]string
 	// knownSince maps a pool to the time at which this node became its holder or standby.
 	knownSince map[string]time.Time
