--- a/internal/gateway/balancer/admission.go
+++ b/internal/gateway/balancer/admission.go
@@ -7,28 +7,28 @@
 )
 
 const (
-	// lateQueue is the number of late requests that may go on waiting, in seconds of what the pool grants.
+	// lateQueueSeconds is the number of late requests that may go on waiting, in seconds of what the pool grants.
 	// They are worth serving once the burst is over; more of them would only wait for their refusal.
-	lateQueue = 0.7
-	// patiencePart is the part of its time that a request which can't meet its target may wait.
-	patiencePart = 0.15
+	lateQueueSeconds = 0.7
+	// patienceFraction is the part of its time that a request which can't meet its target may wait.
+	patienceFraction = 0.15
 )
 
-// prospect says whether a request that has to wait may join the queue, and else how long the queue takes to drain. It
+// admit says whether a request that has to wait may join the queue, and else how long the queue takes to drain. It
 // may while it can get room early enough for its target, or while few of those that can't are waiting.
 //
 // Under overload it would else wait until it is late, only to be refused for the room that there isn't. Refused at
 // once, its caller can go elsewhere or come back when the queue is shorter.
-func (p *Pool) prospect(now time.Time, work *Request) (time.Duration, bool) {
-	if work.Target == 0 {
+func (p *Pool) admit(now time.Time, request *Request) (time.Duration, bool) {
+	if request.Target == 0 {
 		return 0, true
 	}
 
-	rank, waiting := baseRank(work), len(p.queue)
+	rank, waiting := baseRank(request), len(p.queue)
 	ahead := 0
 
 	for _, q := range p.queue {
-		if q.place <= rank && !q.late(now) {
+		if q.sortRank <= rank && !q.late(now) {
 			ahead++
 		}
 	}
@@ -38,8 +38,8 @@
 		return 0, true
 	}
 
-	inTime := lateWait * work.Target.Seconds() * rate
-	if float64(ahead) <= inTime || float64(waiting) <= patience(work).Seconds()*rate {
+	inTime := lateAfterFraction * request.Target.Seconds() * rate
+	if float64(ahead) <= inTime || float64(waiting) <= patience(request).Seconds()*rate {
 		return 0, true
 	}
 
@@ -49,29 +49,29 @@
 // patience is how long the request may wait: as long as it can meet its target, or else for a small part of its time. One
 // that waits for longer is hardly ever served and learns late that it won't be; refused early, its caller may come
 // back in time.
-func patience(work *Request) time.Duration {
-	if work.Target == 0 {
-		return work.TimeLimit
+func patience(request *Request) time.Duration {
+	if request.Target == 0 {
+		return request.TimeLimit
 	}
 
-	return time.Duration(max(lateWait*float64(work.Target), patiencePart*float64(work.TimeLimit)))
+	return time.Duration(max(lateAfterFraction*float64(request.Target), patienceFraction*float64(request.TimeLimit)))
 }
 
-// mostLate is the number of late requests that may wait while so many requests get room in a second.
-func (p *Pool) mostLate(rate float64) int {
-	return int(lateQueue*rate) + len(p.servers)
+// maxLate is the number of late requests that may wait while so many requests get room in a second.
+func (p *Pool) maxLate(rate float64) int {
+	return int(lateQueueSeconds*rate) + len(p.servers)
 }
 
-// mayEver says whether any server may get the request once it has room.
-func (p *Pool) mayEver(now time.Time, work *Request) bool {
+// hasEligibleServer says whether any server may get the request once it has room.
+func (p *Pool) hasEligibleServer(now time.Time, request *Request) bool {
 	return slices.ContainsFunc(p.servers, func(s *server) bool {
-		return s.usable(now) && !slices.Contains(work.Excluded, s.ID)
+		return s.usable(now) && !slices.Contains(request.Excluded, s.ID)
 	})
 }
 
 // outranked says whether a request that waits goes before the work.
-func (p *Pool) outranked(work *Request) bool {
-	return slices.ContainsFunc(p.queue, func(q *queued) bool { return q.place <= baseRank(work) })
+func (p *Pool) outranked(request *Request) bool {
+	return slices.ContainsFunc(p.queue, func(q *queued) bool { return q.sortRank <= baseRank(request) })
 }
 
 // shed drops the requests that have no prospect: those whose time is over, and of those that are late as many as are
@@ -86,8 +86,8 @@
 			return false
 		}
 
-		delete(p.queuedIDs, q.work.ID)
-		refused = append(refused, Grant{ID: q.work.ID, Owner: q.owner, Refused: true})
+		delete(p.queuedIDs, q.request.ID)
+		refused = append(refused, Grant{ID: q.request.ID, Owner: q.owner, Refused: true})
 
 		return true
 	})
@@ -105,14 +105,14 @@
 		}
 	}
 
-	excess := len(late) - p.mostLate(p.demand.grantRate(now))
+	excess := len(late) - p.maxLate(p.demand.grantRate(now))
 	if excess <= 0 {
 		return nil
 	}
 
 	// In order of rank an urgent request would be dropped before all others, since it is first among the late ones too.
 	slices.SortStableFunc(late, func(a, b *queued) int {
-		return cmp.Or(cmp.Compare(b.work.Priority, a.work.Priority), a.since.Compare(b.since))
+		return cmp.Or(cmp.Compare(b.request.Priority, a.request.Priority), a.since.Compare(b.since))
 	})
 
 	surplus := make(map[*queued]bool, excess)
--- a/internal/gateway/balancer/matching.go
+++ b/internal/gateway/balancer/matching.go
@@ -6,18 +6,18 @@
 )
 
 const (
-	// mostDeclined bounds the work of one look for room: a choice looks at all servers.
-	mostDeclined = 2
-	// overduePart is the part of its patience after which a request doesn't wait for the right server any more.
-	overduePart = 0.5
+	// maxDeclined bounds the work of one look for room: a choice looks at all servers.
+	maxDeclined = 2
+	// acceptAnyFraction is the part of its patience after which a request doesn't wait for the right server any more.
+	acceptAnyFraction = 0.5
 	// matchWindow is the number of waiting requests among which room is given, and matchRank how much further
 	// back in rank than the first of them one may be: 450 ms of waiting, so that a request whose session no
 	// engine knows gets room before its patience is over.
-	matchWindow = 64
-	matchRank   = 0.3
-	// missingPart is what a token that must still be read counts against one that is known. Shorter prompts let more
+	matchWindow    = 64
+	matchRankRange = 0.3
+	// uncachedWeight is what a token that must still be read counts against one that is known. Shorter prompts let more
 	// requests be served; by length alone 0.36 of the longest tenth were, and 0.78 of all.
-	missingPart = 0.35
+	uncachedWeight = 0.35
 )
 
 // nextMatch returns the request that is to get the room that there is: of those with the priority of the
@@ -34,7 +34,7 @@
 		seen = 0
 	)
 
-	open := p.open(now)
+	open := p.openServers(now)
 	if len(open) == 0 {
 		return nil, false
 	}
@@ -45,19 +45,19 @@
 		}
 
 		// Only requests of the first one's priority compete with it.
-		if head != nil && q.work.Priority != head.work.Priority {
+		if head != nil && q.request.Priority != head.request.Priority {
 			continue
 		}
 
-		if seen == matchWindow || head != nil && q.place > head.place+matchRank {
+		if seen == matchWindow || head != nil && q.sortRank > head.sortRank+matchRankRange {
 			break
 		}
 
-		q.work.TimeLimit = q.deadline.Sub(now)
-		q.work.Waited = now.Sub(q.since)
-		q.work.AcceptAny = q.work.Waited > time.Duration(float64(q.until.Sub(q.since))*overduePart)
+		q.request.TimeLimit = q.deadline.Sub(now)
+		q.request.Waited = now.Sub(q.since)
+		q.request.AcceptAny = q.request.Waited > time.Duration(float64(q.until.Sub(q.since))*acceptAnyFraction)
 
-		fit, ok := p.bestFit(now, open, &q.work)
+		fit, ok := p.bestFit(now, open, &q.request)
 		if !ok {
 			continue
 		}
@@ -78,25 +78,25 @@
 
 // bestFit tells how well the request goes with the best of the servers that take it, in prompt tokens: what it has
 // read of the prompt, less a part of what it must still read.
-func (p *Pool) bestFit(now time.Time, open []*server, work *Request) (float64, bool) {
+func (p *Pool) bestFit(now time.Time, open []*server, request *Request) (float64, bool) {
 	best, found := math.Inf(-1), false
 
 	for _, s := range open {
-		if p.takes(now, s, work) {
-			missing := float64(s.missingTokens(work))
-			best, found = max(best, float64(work.PromptTokens)-missing-missingPart*missing), true
+		if p.accepts(now, s, request) {
+			missing := float64(s.uncachedTokens(request))
+			best, found = max(best, float64(request.PromptTokens)-missing-uncachedWeight*missing), true
 		}
 	}
 
 	return best, found
 }
 
-// open returns the servers that could take one more small request.
-func (p *Pool) open(now time.Time) []*server {
+// openServers returns the servers that could take one more small request.
+func (p *Pool) openServers(now time.Time) []*server {
 	var open []*server
 
 	for _, s := range p.servers {
-		if p.takes(now, s, &Request{}) {
+		if p.accepts(now, s, &Request{}) {
 			open = append(open, s)
 		}
 	}
--- a/internal/gateway/balancer/pool.go
+++ b/internal/gateway/balancer/pool.go
@@ -10,29 +10,29 @@
 )
 
 const (
-	// longPart is the part of what may wait at an engine that a longer prompt counts for.
-	longPart = 0.7
-	// waitingPart is the part of the loss at a server with room that a busy one must stay under to be waited for.
-	waitingPart = 0.7
-	// urgentPart is the part of an engine's places that less urgent requests leave free while urgent ones come, and
+	// longPromptFraction is the part of what may wait at an engine that a longer prompt counts for.
+	longPromptFraction = 0.7
+	// waitLossRatio is the part of the loss at a server with room that a busy one must stay under to be waited for.
+	waitLossRatio = 0.7
+	// urgentReserveFraction is the part of an engine's places that less urgent requests leave free while urgent ones come, and
 	// reserveTime how long after the last of these. With an eighth, 92 of 100 chats get an engine at once while long
 	// answers would fill all places, with none 14; the long prompts that are read fall from 381 to 337. A quarter
 	// gives the other 8 chats and leaves 251 (the load of TestChatsGetAnEngineAtOnceUnderOverload).
-	urgentPart  = 0.125
-	reserveTime = 5 * time.Second
-	// plainQueue is how many calls may wait at a plain server in addition to its slots.
-	plainQueue = 8
-	// endGrace is how long after its limit a request whose end nobody told is still counted.
-	endGrace = time.Second
+	urgentReserveFraction = 0.125
+	urgentReserveDuration = 5 * time.Second
+	// maxPlainQueue is how many calls may wait at a plain server in addition to its slots.
+	maxPlainQueue = 8
+	// expiryGrace is how long after its limit a request whose end nobody told is still counted.
+	expiryGrace = time.Second
 	// expireInterval is the time between two looks for such requests.
 	expireInterval = 500 * time.Millisecond
-	// engineBacklog is the prompt work in chunks that may wait at an engine: enough to keep it busy
+	// maxBacklogChunks is the prompt work in chunks that may wait at an engine: enough to keep it busy
 	// for several ways to the holder and back. Urgent requests may add to it.
-	engineBacklog = 7.0
-	urgentBacklog = 14.0
-	// memoryPart is the part of an engine's memory that running requests may fill. An engine that runs
+	maxBacklogChunks       = 7.0
+	maxUrgentBacklogChunks = 14.0
+	// maxMemoryFraction is the part of an engine's memory that running requests may fill. An engine that runs
 	// out of it sets running requests back to where they began.
-	memoryPart = 0.85
+	maxMemoryFraction = 0.85
 )
 
 // Choice is the upstream that was chosen.
@@ -52,7 +52,7 @@
 	// model learns how fast they are.
 	model *estimator.Estimator
 	// requests holds all running requests by id.
-	requests map[string]*sent
+	requests map[string]*runningRequest
 	// queue holds the requests that wait for room.
 	queue []*queued
 	// queuedIDs are the ids of the requests in queue, which was last sorted at sortedAt.
@@ -68,7 +68,7 @@
 
 // NewPool returns a pool without upstreams.
 func NewPool() *Pool {
-	return &Pool{requests: make(map[string]*sent), queuedIDs: make(map[string]*queued), model: estimator.New(0)}
+	return &Pool{requests: make(map[string]*runningRequest), queuedIDs: make(map[string]*queued), model: estimator.New(0)}
 }
 
 // SetUpstreams takes in the upstreams that exist now. What is known of those that stay is kept.
@@ -104,7 +104,7 @@
 
 // choose picks the server with the least expected loss and counts the request there; p.mu is held.
 // It returns false when no server has room for it.
-func (p *Pool) choose(now time.Time, work Request) (Choice, bool) {
+func (p *Pool) choose(now time.Time, request Request) (Choice, bool) {
 	var (
 		best     *server
 		bestLoss = math.Inf(1)
@@ -113,14 +113,14 @@
 	)
 
 	for _, s := range p.servers {
-		if !p.hasRoom(now, s, &work) {
+		if !p.hasRoom(now, s, &request) {
 			continue
 		}
 
-		loss := p.loss(now, s, &work)
+		loss := p.loss(now, s, &request)
 
 		switch {
-		case p.isBusy(now, s, &work):
+		case p.isBusy(now, s, &request):
 			busyLoss = min(busyLoss, loss)
 		case loss < bestLoss:
 			best, bestLoss = s, loss
@@ -129,80 +129,80 @@
 
 	// Rather than to an engine with chats, or to one that would read its session anew, the request waits for the
 	// other one, which is no later than if it waited there.
-	if best == nil || busyLoss < waitingPart*bestLoss {
+	if best == nil || busyLoss < waitLossRatio*bestLoss {
 		return Choice{}, false
 	}
 
-	r := p.begin(now, best, work)
-	p.demand.grant(now)
+	r := p.begin(now, best, request)
+	p.demand.recordGrant(now)
 
-	return Choice{Upstream: best.ID, Address: best.Address, Loss: bestLoss, ExpectedWaitMS: r.expected}, true
+	return Choice{Upstream: best.ID, Address: best.Address, Loss: bestLoss, ExpectedWaitMS: r.expectedMS}, true
 }
 
 // AddRunning counts a request that another node's pool sent to the upstream.
-func (p *Pool) AddRunning(now time.Time, upstream string, work Request) {
+func (p *Pool) AddRunning(now time.Time, upstream string, request Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
-	_ = p.beginAt(now, upstream, work)
+	_ = p.beginAt(now, upstream, request)
 }
 
 // AddAnswering counts a request whose answer began before this pool heard of it, so that its first event says nothing of
 // the time that it took.
-func (p *Pool) AddAnswering(now time.Time, upstream string, work Request) {
+func (p *Pool) AddAnswering(now time.Time, upstream string, request Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
-	r := p.beginAt(now, upstream, work)
+	r := p.beginAt(now, upstream, request)
 	if r == nil {
 		return
 	}
 
 	r.answering = true
 	r.server.dropBacklog(r)
-	r.readBefore = r.server.given
+	r.prefilledAtFirst = r.server.sentTokens
 }
 
 // beginAt counts a request at a named upstream; nil if that isn't listed.
-func (p *Pool) beginAt(now time.Time, upstream string, work Request) *sent {
+func (p *Pool) beginAt(now time.Time, upstream string, request Request) *runningRequest {
 	p.expire(now)
 	// It may wait here too: it asked this node before it got its upstream from another one.
-	p.unqueue(work.ID)
+	p.unqueue(request.ID)
 
 	for _, s := range p.servers {
 		if s.ID == upstream {
-			return p.begin(now, s, work)
+			return p.begin(now, s, request)
 		}
 	}
 
 	return nil
 }
 
-func (p *Pool) begin(now time.Time, s *server, work Request) *sent {
-	if former, ok := p.requests[work.ID]; ok {
+func (p *Pool) begin(now time.Time, s *server, request Request) *runningRequest {
+	if former, ok := p.requests[request.ID]; ok {
 		p.demand.running--
 		former.server.remove(former, Abandoned, now, false)
 	}
 
-	r := &sent{
-		work:        work,
-		server:      s,
-		at:          now,
-		until:       now.Add(work.TimeLimit + endGrace),
-		reading:     s.reading(&work),
-		expected:    p.expected(now, s, &work),
-		speed:       s.speedNow(now),
-		sensitivity: p.sensitivity(&work),
-		ahead:       s.backlog,
+	r := &runningRequest{
+		request:       request,
+		server:        s,
+		sentAt:        now,
+		expiresAt:     now.Add(request.TimeLimit + expiryGrace),
+		prefillTokens: s.prefillTokens(&request),
+		expectedMS:    p.expectedMS(now, s, &request),
+		slowdown:      s.slowdownNow(now),
+		sensitivity:   p.sensitivity(&request),
+		backlogAhead:  s.backlog,
 	}
 
 	p.demand.running++
 
-	if work.Priority <= 0 {
+	if request.Priority <= 0 {
 		p.urgentAt = now
 	}
 
-	p.requests[work.ID] = r
+	p.requests[request.ID] = r
 	s.add(r, now)
 
 	return r
@@ -219,10 +219,10 @@
 	}
 
 	p.observeFirst(r, now)
-	r.server.answered(r, now)
+	r.server.recordAnswer(r, now)
 
 	if load != nil {
-		r.server.tell(now, *load)
+		r.server.recordLoad(now, *load)
 	}
 }
 
@@ -255,8 +255,8 @@
 
 	if outcome == Served {
 		p.observeFirst(r, now)
-		r.server.answered(r, now)
-		p.demand.stayed(now.Sub(r.at).Seconds())
+		r.server.recordAnswer(r, now)
+		p.demand.recordResidence(now.Sub(r.sentAt).Seconds())
 	}
 
 	r.server.remove(r, outcome, now, outcome == Failed && p.mayEject(now))
@@ -272,7 +272,7 @@
 	p.expiredAt = now
 
 	for id, r := range p.requests {
-		if now.After(r.until) {
+		if now.After(r.expiresAt) {
 			delete(p.requests, id)
 			p.demand.running--
 			r.server.remove(r, Abandoned, now, false)
@@ -295,70 +295,70 @@
 		}
 	}
 
-	return float64(ejected+1) <= ejectedPart*float64(len(p.servers))
+	return float64(ejected+1) <= maxEjectedFraction*float64(len(p.servers))
 }
 
-// takes says whether the server may get the request now.
-func (p *Pool) takes(now time.Time, s *server, work *Request) bool {
-	return p.hasRoom(now, s, work) && !p.isBusy(now, s, work)
+// accepts says whether the server may get the request now.
+func (p *Pool) accepts(now time.Time, s *server, request *Request) bool {
+	return p.hasRoom(now, s, request) && !p.isBusy(now, s, request)
 }
 
 // isBusy says whether as many prompts wait at the engine as it needs for the next moments.
-func (p *Pool) isBusy(now time.Time, s *server, work *Request) bool {
-	if s.engine.CacheTokens == 0 || work.AcceptAny && p.isInTime(now, s, work) {
+func (p *Pool) isBusy(now time.Time, s *server, request *Request) bool {
+	if s.engine.CacheTokens == 0 || request.AcceptAny && p.meetsTarget(now, s, request) {
 		return false
 	}
 
-	backlog, most := s.waitingWork(now), mostBacklog(work.Priority)
+	backlog, most := s.backlogNow(now), maxBacklogTokens(request.Priority)
 
 	// A prompt longer than that would wait for an engine without any, and always be passed by shorter ones.
-	return backlog > 0 && backlog+min(s.reading(work), longPart*most) > most
+	return backlog > 0 && backlog+min(s.prefillTokens(request), longPromptFraction*most) > most
 }
 
-// isInTime says whether the server is expected to answer the request within its target. One that has waited for long
+// meetsTarget says whether the server is expected to answer the request within its target. One that has waited for long
 // may go where more prompts wait than usual, but only for that: sent there late, it would make all that come after it
 // late too, and hold memory for prompts that others share until its caller leaves. Under an overload of 90 engines this
 // brings 15% more of what can be had; before, 47,000 prompt tokens waited at the median of the engines that were chosen.
-func (p *Pool) isInTime(now time.Time, s *server, work *Request) bool {
-	return p.expected(now, s, work) <= milliseconds(work.Target-work.Waited)
+func (p *Pool) meetsTarget(now time.Time, s *server, request *Request) bool {
+	return p.expectedMS(now, s, request) <= milliseconds(request.Target-request.Waited)
 }
 
 // hasRoom says whether the server has a place and memory for the request.
-func (p *Pool) hasRoom(now time.Time, s *server, work *Request) bool {
-	if !s.usable(now) || slices.Contains(work.Excluded, s.ID) || s.onTrial() && len(s.running) > 0 {
+func (p *Pool) hasRoom(now time.Time, s *server, request *Request) bool {
+	if !s.usable(now) || slices.Contains(request.Excluded, s.ID) || s.onTrial() && len(s.running) > 0 {
 		return false
 	}
 
 	if s.engine.CacheTokens == 0 {
-		return len(s.running) < s.Slots+plainQueue
+		return len(s.running) < s.Slots+maxPlainQueue
 	}
 
 	foreign := s.foreignNow(now)
-	tokens := float64(s.tokens+s.added(work)) + foreign*s.meanTokens
+	tokens := float64(s.tokens+s.additionalTokens(request)) + foreign*s.meanTokens
 
-	if len(s.running) > 0 && tokens > memoryPart*float64(s.engine.CacheTokens) {
+	if len(s.running) > 0 && tokens > maxMemoryFraction*float64(s.engine.CacheTokens) {
 		return false
 	}
 
-	return float64(len(s.running))+foreign < float64(s.Slots)-p.reserve(now, s, work)
+	return float64(len(s.running))+foreign < float64(s.Slots)-p.reserve(now, s, request)
 }
 
 // reserve is the number of places at an engine that are kept from the work for more urgent requests. Where long answers
 // take all places, a chat waits for the end of one, which is longer than its whole target.
-func (p *Pool) reserve(now time.Time, s *server, work *Request) float64 {
-	if work.Priority <= 0 || now.Sub(p.urgentAt) > reserveTime {
+func (p *Pool) reserve(now time.Time, s *server, request *Request) float64 {
+	if request.Priority <= 0 || now.Sub(p.urgentAt) > urgentReserveDuration {
 		return 0
 	}
 
-	return urgentPart * float64(s.Slots)
+	return urgentReserveFraction * float64(s.Slots)
 }
 
-// mostBacklog is the prompt work that may wait at an engine. What waits there is read in
+// maxBacklogTokens is the prompt work that may wait at an engine. What waits there is read in
 // the order in which it came; what waits in the pool goes by rank, and stalls no stream meanwhile.
-func mostBacklog(priority int) float64 {
+func maxBacklogTokens(priority int) float64 {
 	if priority <= 0 {
-		return urgentBacklog * chunkTokens
+		return maxUrgentBacklogChunks * chunkTokens
 	}
 
-	return engineBacklog * chunkTokens
+	return maxBacklogChunks * chunkTokens
 }
--- a/internal/gateway/balancer/queue.go
+++ b/internal/gateway/balancer/queue.go
@@ -11,14 +11,14 @@
 	agingTime = 1500 * time.Millisecond
 	// maxQueue bounds the requests that wait for one pool.
 	maxQueue = 2000
-	// lateWait is the part of its target that a request can wait and still meet it: the rest is for the
+	// lateAfterFraction is the part of its target that a request can wait and still meet it: the rest is for the
 	// engine's backlog, its prompt and the first event. lateRank is what it loses in rank after that.
-	lateWait = 0.55
-	lateRank = 1.5
-	// orderRank is what each place in the order of organisations counts beside a priority; all places together
+	lateAfterFraction = 0.55
+	lateRankPenalty   = 1.5
+	// organisationRankWeight is what each place in the order of organisations counts beside a priority; all places together
 	// stay within one, so that no organisation goes before a more urgent class.
-	orderRank     = 0.3
-	mostOrderRank = 0.9
+	organisationRankWeight = 0.3
+	maxOrganisationRank    = 0.9
 	// sortInterval is the longest time for which the order of a queue without room is left as it is.
 	sortInterval = 20 * time.Millisecond
 	// resortInterval is the same while there is room.
@@ -49,70 +49,70 @@
 
 // queued is a request that waits until a server has room for it.
 type queued struct {
-	work  Request
-	owner string
-	since time.Time
+	request Request
+	owner   string
+	since   time.Time
 	// until is when it is refused, deadline when its time is over if it gets room before.
 	until, deadline time.Time
-	// place is the rank as of the last sorting.
-	place float64
+	// sortRank is the rank as of the last sorting.
+	sortRank float64
 }
 
 // rank orders the queue: lower goes first. One that will be late in any case goes behind those that won't:
 // strictly in turn, all would be late as soon as the queue is as long as their target.
 func (q *queued) rank(now time.Time) float64 {
-	rank := baseRank(&q.work) - now.Sub(q.since).Seconds()/agingTime.Seconds()
+	rank := baseRank(&q.request) - now.Sub(q.since).Seconds()/agingTime.Seconds()
 	if q.late(now) {
-		rank += lateRank
+		rank += lateRankPenalty
 	}
 
 	return rank
 }
 
 // baseRank is the rank of a request that has not waited.
-func baseRank(work *Request) float64 {
-	return float64(work.Priority) + min(orderRank*float64(work.OrganisationRank), mostOrderRank)
+func baseRank(request *Request) float64 {
+	return float64(request.Priority) + min(organisationRankWeight*float64(request.OrganisationRank), maxOrganisationRank)
 }
 
 // late says that the request has waited too long to meet its target.
 func (q *queued) late(now time.Time) bool {
-	return q.work.Target > 0 && now.Sub(q.since) > time.Duration(lateWait*float64(q.work.Target))
+	return q.request.Target > 0 && now.Sub(q.since) > time.Duration(lateAfterFraction*float64(q.request.Target))
 }
 
 // Acquire picks an upstream for the work, or queues it where none has room now. Asked again for a request
 // that has an upstream or waits already, it says the same again: its answer may have been lost.
-func (p *Pool) Acquire(now time.Time, owner string, work Request) (Choice, Decision) {
+func (p *Pool) Acquire(now time.Time, owner string, request Request) (Choice, Decision) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
 	p.expire(now)
 
-	if r, ok := p.requests[work.ID]; ok {
-		return Choice{Upstream: r.server.ID, Address: r.server.Address, ExpectedWaitMS: r.expected}, Granted
+	if r, ok := p.requests[request.ID]; ok {
+		return Choice{Upstream: r.server.ID, Address: r.server.Address, ExpectedWaitMS: r.expectedMS}, Granted
 	}
 
-	if p.queuedIDs[work.ID] != nil {
+	if p.queuedIDs[request.ID] != nil {
 		return Choice{}, Queued
 	}
 
-	if !p.mayEver(now, &work) || len(p.queue) >= maxQueue {
+	if !p.hasEligibleServer(now, &request) || len(p.queue) >= maxQueue {
 		return Choice{}, Refused
 	}
 
-	if !p.outranked(&work) {
-		if choice, ok := p.choose(now, work); ok {
+	if !p.outranked(&request) {
+		if choice, ok := p.choose(now, request); ok {
 			return choice, Granted
 		}
 	}
 
-	if wait, ok := p.prospect(now, &work); !ok {
+	if wait, ok := p.admit(now, &request); !ok {
 		return Choice{ExpectedWaitMS: milliseconds(wait)}, Refused
 	}
 
-	q := &queued{work: work, owner: owner, since: now, until: now.Add(patience(&work)), deadline: now.Add(work.TimeLimit)}
-	q.place = q.rank(now)
+	q := &queued{request: request, owner: owner, since: now, until: now.Add(patience(&request)), deadline: now.Add(request.TimeLimit)}
+	q.sortRank = q.rank(now)
 	p.queue = append(p.queue, q)
-	p.queuedIDs[work.ID] = q
+	p.queuedIDs[request.ID] = q
 
 	return Choice{}, Queued
 }
@@ -129,7 +129,7 @@
 	p.expire(now)
 
 	// Most calls find no room; sorting the queue each time would take up the holder's processor.
-	hasRoom := len(p.open(now)) > 0
+	hasRoom := len(p.openServers(now)) > 0
 	if !hasRoom && now.Sub(p.sortedAt) < sortInterval {
 		return nil
 	}
@@ -144,21 +144,21 @@
 	// declined are the requests that wait for a better server than those that have room.
 	declined := make(map[*queued]bool)
 
-	for len(declined) < mostDeclined {
+	for len(declined) < maxDeclined {
 		q, ok := p.nextMatch(now, declined)
 		if !ok {
 			return grants
 		}
 
-		choice, ok := p.choose(now, q.work)
+		choice, ok := p.choose(now, q.request)
 		if !ok {
 			declined[q] = true
 
 			continue
 		}
 
-		p.unqueue(q.work.ID)
-		grants = append(grants, Grant{ID: q.work.ID, Owner: q.owner, Choice: choice})
+		p.unqueue(q.request.ID)
+		grants = append(grants, Grant{ID: q.request.ID, Owner: q.owner, Choice: choice})
 	}
 
 	return grants
@@ -169,10 +169,10 @@
 	p.sortedAt = now
 
 	for _, q := range p.queue {
-		q.place = q.rank(now)
+		q.sortRank = q.rank(now)
 	}
 
-	slices.SortStableFunc(p.queue, func(a, b *queued) int { return cmp.Compare(a.place, b.place) })
+	slices.SortStableFunc(p.queue, func(a, b *queued) int { return cmp.Compare(a.sortRank, b.sortRank) })
 }
 
 // QueueLength is the number of requests in the queue.
--- a/internal/gateway/balancer/report.go
+++ b/internal/gateway/balancer/report.go
@@ -43,9 +43,9 @@
 			Running:       len(s.running),
 			Foreign:       s.foreignNow(now),
 			BacklogTokens: s.backlog,
-			Slowdown:      s.speedNow(now),
+			Slowdown:      s.slowdownNow(now),
 			Failures:      s.failuresNow(now),
-			OverdueMS:     s.overdue(now),
+			OverdueMS:     s.overdueMS(now),
 			Draining:      s.Draining,
 		})
 	}
--- a/internal/gateway/balancer/types.go
+++ b/internal/gateway/balancer/types.go
@@ -49,8 +49,8 @@
 }
 
 // tokens is the memory that the request may come to take up.
-func (w *Request) tokens() int {
-	return w.PromptTokens + w.OutputTokens
+func (r *Request) tokens() int {
+	return r.PromptTokens + r.OutputTokens
 }
 
 // Load is what a server tells of itself in an answer.
--- a/internal/gateway/estimator/estimator.go
+++ b/internal/gateway/estimator/estimator.go
@@ -17,25 +17,25 @@
 
 // First guesses, which some dozen answers replace. They are those of one measured kind of engine.
 const (
-	firstReadingRate = 110.0
-	firstStepTime    = 6.1
-	firstChunkTime   = 18.6
-	firstPlainTime   = 15.0
+	initialPrefillTokensPerMS = 110.0
+	initialStepMS             = 6.1
+	initialChunkMS            = 18.6
+	initialPlainCallMS        = 15.0
 )
 
 const (
-	// firstStep and leastStep bound how far one observation moves an estimate, as a logarithm: at first by a
+	// initialGain and leastStep bound how far one observation moves an estimate, as a logarithm: at first by a
 	// factor of 1.6, after some 280 by 3%.
-	firstStep = 0.5
-	leastStep = 0.03
-	// chanceRun is the number of observations in a row on one side of an estimate that is still likely by chance.
+	initialGain = 0.5
+	minGain     = 0.03
+	// maxChanceRun is the number of observations in a row on one side of an estimate that is still likely by chance.
 	// Each further one adds runGain to the step, so that a change of all upstreams is followed within a second or two.
-	chanceRun = 6
-	runGain   = 0.3
+	maxChanceRun = 6
+	runGain      = 0.3
 	// median is the quantile of times that a typical answer takes.
 	median = 0.5
-	// usualWorst is the quantile of the longest pause of a stream: what most streams stay under.
-	usualWorst = 0.7
+	// highQuantile is the quantile of the longest pause of a stream: what most streams stay under.
+	highQuantile = 0.7
 )
 
 // Estimates are what an estimator believes of a pool's upstreams.
@@ -52,7 +52,7 @@
 
 // Estimator keeps the figures of one pool. It is not safe for concurrent use.
 type Estimator struct {
-	readingTime, stepTime, readingPause, plainTime quantile
+	prefillMSPerToken, stepMS, prefillGapMS, plainCallMS quantile
 }
 
 // New returns an estimator that knows nothing yet of engines with so many tokens in one event; 0 for plain services.
@@ -60,36 +60,36 @@
 	events := float64(max(eventTokens, 1))
 
 	return &Estimator{
-		readingTime:  newQuantile(median, 1/firstReadingRate),
-		stepTime:     newQuantile(median, firstStepTime),
-		readingPause: newQuantile(usualWorst, events*(firstStepTime+firstChunkTime)),
-		plainTime:    newQuantile(median, firstPlainTime),
+		prefillMSPerToken: newQuantile(median, 1/initialPrefillTokensPerMS),
+		stepMS:            newQuantile(median, initialStepMS),
+		prefillGapMS:      newQuantile(highQuantile, events*(initialStepMS+initialChunkMS)),
+		plainCallMS:       newQuantile(median, initialPlainCallMS),
 	}
 }
 
 // ObservePrefill takes in the milliseconds that an engine needed to read so many tokens.
 func (e *Estimator) ObservePrefill(tokens, took float64) {
 	if tokens > 0 {
-		e.readingTime.take(took / tokens)
+		e.prefillMSPerToken.observe(took / tokens)
 	}
 }
 
 // ObserveStep takes in the mean time of a token in milliseconds, of a stream beside which no prompts were read.
-func (e *Estimator) ObserveStep(took float64) { e.stepTime.take(took) }
+func (e *Estimator) ObserveStep(took float64) { e.stepMS.observe(took) }
 
 // ObservePrefillGap takes in the longest pause in milliseconds of a stream beside which prompts were read.
-func (e *Estimator) ObservePrefillGap(longest float64) { e.readingPause.take(longest) }
+func (e *Estimator) ObservePrefillGap(longest float64) { e.prefillGapMS.observe(longest) }
 
 // ObservePlainCall takes in the milliseconds of one call of a plain service that had a slot at once.
-func (e *Estimator) ObservePlainCall(took float64) { e.plainTime.take(took) }
+func (e *Estimator) ObservePlainCall(took float64) { e.plainCallMS.observe(took) }
 
 // Estimates returns the present estimates.
 func (e *Estimator) Estimates() Estimates {
 	return Estimates{
-		PrefillTokensPerMS: 1 / e.readingTime.value,
-		StepMS:             e.stepTime.value,
-		PrefillGapMS:       e.readingPause.value,
-		PlainCallMS:        e.plainTime.value,
+		PrefillTokensPerMS: 1 / e.prefillMSPerToken.value,
+		StepMS:             e.stepMS.value,
+		PrefillGapMS:       e.prefillGapMS.value,
+		PlainCallMS:        e.plainCallMS.value,
 	}
 }
 
@@ -99,7 +99,7 @@
 	share float64
 	// value is the estimate; above 0.
 	value float64
-	seen  int
+	count int
 	// run counts the last observations that were all above it, or all below if negative.
 	run int
 }
@@ -108,26 +108,26 @@
 	return quantile{share: share, value: first}
 }
 
-func (q *quantile) take(observed float64) {
+func (q *quantile) observe(observed float64) {
 	if !(observed > 0) { // Not a number isn't either.
 		return
 	}
 
-	q.seen++
-	step := max(firstStep/math.Sqrt(float64(q.seen)), leastStep)
+	q.count++
+	step := max(initialGain/math.Sqrt(float64(q.count)), minGain)
 
 	if observed > q.value {
 		q.run = max(q.run, 0) + 1
-		q.value *= math.Exp(step * q.share * q.hurry())
+		q.value *= math.Exp(step * q.share * q.runFactor())
 	} else {
 		q.run = min(q.run, 0) - 1
-		q.value *= math.Exp(-step * (1 - q.share) * q.hurry())
+		q.value *= math.Exp(-step * (1 - q.share) * q.runFactor())
 	}
 }
 
-// hurry is the factor by which a step is longer when many observations in a row say the same.
-func (q *quantile) hurry() float64 {
+// runFactor is the factor by which a step is longer when many observations in a row say the same.
+func (q *quantile) runFactor() float64 {
 	run := max(q.run, -q.run)
 
-	return 1 + runGain*float64(max(run-chanceRun, 0))
+	return 1 + runGain*float64(max(run-maxChanceRun, 0))
 }
