--- a/internal/chooser/chooser.go
+++ b/internal/chooser/chooser.go
@@ -1,7 +1,7 @@
-// Package chooser chooses nodes for a name by rendezvous hashing.
+// Package chooser assigns names to nodes by rendezvous hashing.
 //
-// Nodes that know the same nodes choose the same ones without a message, and a
-// node that comes or goes moves only the names that it gains or had.
+// Nodes with the same list of nodes choose the same ones without exchanging
+// messages. Adding or removing a node moves only the names that it gains or had.
 package chooser
 
 import (
@@ -11,15 +11,15 @@
 	"github.com/dgryski/go-rendezvous"
 )
 
-// Chooser chooses among fixed nodes. It is immutable, so safe for concurrent use.
+// Chooser chooses among a fixed set of nodes. It is immutable and safe for concurrent use.
 type Chooser struct {
 	nodes []string
-	// hashes are those of the nodes, in their order.
+	// hashes holds the hash of each node, in the order of nodes.
 	hashes []uint64
 	table  *rendezvous.Rendezvous
 }
 
-// New returns a chooser among the nodes, whose order doesn't matter.
+// New returns a chooser among the nodes. Their order doesn't affect the choice.
 func New(nodes []string) *Chooser {
 	nodes = slices.Clone(nodes)
 
@@ -32,8 +32,8 @@
 	return &Chooser{nodes: nodes, hashes: hashes, table: rendezvous.New(nodes, xxhash.Sum64String)}
 }
 
-// WithNodes returns a chooser among other nodes: c itself when they are the same in
-// the same order. A nil chooser has no nodes yet.
+// WithNodes returns a chooser among the given nodes: c itself if it has the same
+// nodes in the same order. A nil chooser has no nodes.
 func (c *Chooser) WithNodes(nodes []string) *Chooser {
 	if c != nil && slices.Equal(c.nodes, nodes) {
 		return c
@@ -42,34 +42,34 @@
 	return New(nodes)
 }
 
-// Choose returns the node for a name, or "" when there are no nodes.
+// Choose returns the node for a name, or "" if there are no nodes.
 func (c *Chooser) Choose(name string) string {
 	return c.table.Lookup(name)
 }
 
-// ChooseN returns up to count different nodes for a name, that of Choose first.
-// If one of them goes, the others stay chosen.
+// ChooseN returns up to count distinct nodes for a name, the one that Choose returns first.
+// Removing one of them leaves the others chosen.
 func (c *Chooser) ChooseN(name string, count int) []string {
-	type ranked struct {
+	type candidate struct {
 		node  string
 		score uint64
 	}
 
-	best := make([]ranked, 0, count+1)
+	best := make([]candidate, 0, count+1)
 	key := xxhash.Sum64String(name)
 
 	for i, node := range c.nodes {
-		next := ranked{node: node, score: score(key ^ c.hashes[i])}
+		next := candidate{node: node, score: score(key ^ c.hashes[i])}
 		if len(best) == count && (count == 0 || next.score <= best[count-1].score) {
 			continue
 		}
 
-		place := len(best)
-		for place > 0 && best[place-1].score < next.score {
-			place--
+		index := len(best)
+		for index > 0 && best[index-1].score < next.score {
+			index--
 		}
 
-		best = slices.Insert(best, place, next)
+		best = slices.Insert(best, index, next)
 		best = best[:min(len(best), count)]
 	}
 
@@ -81,7 +81,8 @@
 	return chosen
 }
 
-// score is the library's rank of a node for a name, from the hashes of both. Several has to agree with Choose.
+// score is the score that the rendezvous library gives a node for a name, from the XOR of
+// their hashes. ChooseN needs the same scores to agree with Choose.
 func score(x uint64) uint64 {
 	const multiplier = 2685821657736338717
 
--- a/internal/chooser/chooser_test.go
+++ b/internal/chooser/chooser_test.go
@@ -14,9 +14,9 @@
 	assert.Equal(t, len(New(nil).ChooseN("a", 2)), 0)
 }
 
-// Symptom: names move although their nodes stay, or two nodes choose unlike.
-// Sequence: the same nodes are given in another order, or one node goes.
-// Cause: a choice that depends on the order or on the number of nodes.
+// A choice that depends on the order or the number of nodes would move names whose nodes
+// remain, or let two nodes choose differently, when the nodes are given in another order or
+// one of them is removed.
 func TestChooser_OnlyNamesOfTheLostNodeMove(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := rapid.SliceOfNDistinct(rapid.StringMatching(`n[0-9]{1,3}`), 2, 9, rapid.ID[string]).Draw(t, "nodes")
@@ -37,7 +37,8 @@
 	})
 }
 
-// Guards against holders on which nodes disagree: several nodes must be those that are chosen one after the other.
+// Nodes must agree on the holders of a pool: ChooseN must return the nodes that Choose returns
+// if each chosen node is removed before the next call.
 func TestSeveralAreThoseChosenOneAfterTheOther(t *testing.T) {
 	for size := range 12 {
 		var nodes []string
