--- a/internal/gateway/estimator/estimator.go
+++ b/internal/gateway/estimator/estimator.go
@@ -1,21 +1,21 @@
-// Package estimator learns how fast the upstreams of a pool work, from what is
-// seen of their answers.
+// Package estimator estimates the performance of a pool's upstreams from their
+// observed response times.
 //
-// Engines differ severalfold in how fast they read prompts and make tokens, and
-// nobody tells a router which it has. Figures that hold for other engines make it
-// expect answers at the wrong time: it then takes a busy upstream for an idle
-// one, or lets long prompts in beside streams that stall over them.
+// Engines differ severalfold in how fast they read prompts and generate tokens, and
+// the router isn't told which kind it has. With the estimates of another kind it
+// would expect responses at the wrong time: it would take a busy upstream for an
+// idle one, or send long prompts to engines where they stall streams.
 //
-// An estimate is a quantile that moves by a step for each observation, whatever
-// the size of the deviation: an answer that was stuck for seconds, or a prompt that was
-// cached although nobody knew, counts no more than any other. Steps shrink with the
-// number of observations, so that a first guess is left quickly and the estimate
-// stays calm later.
+// Each estimate is a quantile that moves by a step for each observation, regardless
+// of the size of the deviation. A response that was stuck for seconds, or a prompt
+// that was cached without the router's knowledge, counts no more than any other
+// observation. Steps shrink with the number of observations, so that the estimate
+// leaves the initial value quickly and is stable later.
 package estimator
 
 import "math"
 
-// First guesses, which some dozen answers replace. They are those of one measured kind of engine.
+// Initial values, which about a dozen responses replace. They are those of one kind of engine.
 const (
 	initialPrefillTokensPerMS = 110.0
 	initialStepMS             = 6.1
@@ -24,38 +24,38 @@
 )
 
 const (
-	// initialGain and leastStep bound how far one observation moves an estimate, as a logarithm: at first by a
-	// factor of 1.6, after some 280 by 3%.
+	// initialGain and minGain are the largest and the smallest step of an estimate for one observation, as a logarithm:
+	// a factor of 1.6 at first, 3% after about 280 observations.
 	initialGain = 0.5
 	minGain     = 0.03
-	// maxChanceRun is the number of observations in a row on one side of an estimate that is still likely by chance.
-	// Each further one adds runGain to the step, so that a change of all upstreams is followed within a second or two.
+	// maxChanceRun is the number of consecutive observations on one side of an estimate that is still likely by chance.
+	// Each further one adds runGain to the step factor, so that the estimate follows a change of all upstreams within 1 to 2 s.
 	maxChanceRun = 6
 	runGain      = 0.3
-	// median is the quantile of times that a typical answer takes.
+	// median is the quantile for typical times.
 	median = 0.5
-	// highQuantile is the quantile of the longest pause of a stream: what most streams stay under.
+	// highQuantile is the quantile for the longest gap of a stream, which most streams stay below.
 	highQuantile = 0.7
 )
 
-// Estimates are what an estimator believes of a pool's upstreams.
+// Estimates holds the estimated performance of a pool's upstreams.
 type Estimates struct {
-	// PrefillTokensPerMS is the number of prompt tokens that an engine reads in a millisecond.
+	// PrefillTokensPerMS is the number of prompt tokens that an engine reads per millisecond.
 	PrefillTokensPerMS float64 `json:"reading_rate"`
-	// StepMS is the time of one token of a stream in milliseconds while no prompts are read beside it.
+	// StepMS is the time per output token of a stream while the engine prefills nothing.
 	StepMS float64 `json:"step_ms"`
-	// PrefillGapMS is the longest pause between two events of a stream in milliseconds while prompts are read beside it.
+	// PrefillGapMS is the longest gap between two events of a stream while the engine prefills.
 	PrefillGapMS float64 `json:"reading_pause_ms"`
-	// PlainCallMS is the time of one call of a plain service in milliseconds.
+	// PlainCallMS is the time of one call of a plain service.
 	PlainCallMS float64 `json:"plain_ms"`
 }
 
-// Estimator keeps the figures of one pool. It is not safe for concurrent use.
+// Estimator keeps the estimates of one pool. It is not safe for concurrent use.
 type Estimator struct {
 	prefillMSPerToken, stepMS, prefillGapMS, plainCallMS quantile
 }
 
-// New returns an estimator that knows nothing yet of engines with so many tokens in one event; 0 for plain services.
+// New returns an estimator with initial values for engines that send the given number of tokens per event; 0 for plain services.
 func New(eventTokens int) *Estimator {
 	events := float64(max(eventTokens, 1))
 
@@ -67,23 +67,23 @@
 	}
 }
 
-// ObservePrefill takes in the milliseconds that an engine needed to read so many tokens.
-func (e *Estimator) ObservePrefill(tokens, took float64) {
+// ObservePrefill takes the time in milliseconds in which an engine read the given number of tokens.
+func (e *Estimator) ObservePrefill(tokens, elapsedMS float64) {
 	if tokens > 0 {
-		e.prefillMSPerToken.observe(took / tokens)
+		e.prefillMSPerToken.observe(elapsedMS / tokens)
 	}
 }
 
-// ObserveStep takes in the mean time of a token in milliseconds, of a stream beside which no prompts were read.
-func (e *Estimator) ObserveStep(took float64) { e.stepMS.observe(took) }
+// ObserveStep takes the mean time per token in milliseconds of a stream without prefill on its engine.
+func (e *Estimator) ObserveStep(stepMS float64) { e.stepMS.observe(stepMS) }
 
-// ObservePrefillGap takes in the longest pause in milliseconds of a stream beside which prompts were read.
-func (e *Estimator) ObservePrefillGap(longest float64) { e.prefillGapMS.observe(longest) }
+// ObservePrefillGap takes the longest gap in milliseconds of a stream with prefill on its engine.
+func (e *Estimator) ObservePrefillGap(gapMS float64) { e.prefillGapMS.observe(gapMS) }
 
-// ObservePlainCall takes in the milliseconds of one call of a plain service that had a slot at once.
-func (e *Estimator) ObservePlainCall(took float64) { e.plainCallMS.observe(took) }
+// ObservePlainCall takes the time in milliseconds of one call of a plain service that got a slot immediately.
+func (e *Estimator) ObservePlainCall(callMS float64) { e.plainCallMS.observe(callMS) }
 
-// Estimates returns the present estimates.
+// Estimates returns the current estimates.
 func (e *Estimator) Estimates() Estimates {
 	return Estimates{
 		PrefillTokensPerMS: 1 / e.prefillMSPerToken.value,
@@ -93,14 +93,14 @@
 	}
 }
 
-// quantile follows a quantile of what it takes in.
+// quantile estimates a quantile of its observations.
 type quantile struct {
-	// share is the part of the observations that are below the quantile.
+	// share is the fraction of observations below the quantile.
 	share float64
-	// value is the estimate; above 0.
+	// value is the estimate; it is always positive.
 	value float64
 	count int
-	// run counts the last observations that were all above it, or all below if negative.
+	// run is the number of consecutive observations above the estimate, or the negative number below it.
 	run int
 }
 
@@ -109,7 +109,7 @@
 }
 
 func (q *quantile) observe(observed float64) {
-	if !(observed > 0) { // Not a number isn't either.
+	if !(observed > 0) { // Also true for NaN.
 		return
 	}
 
@@ -125,7 +125,7 @@
 	}
 }
 
-// runFactor is the factor by which a step is longer when many observations in a row say the same.
+// runFactor returns the factor that lengthens a step when many consecutive observations are on the same side.
 func (q *quantile) runFactor() float64 {
 	run := max(q.run, -q.run)
 
--- a/internal/gateway/estimator/estimator_test.go
+++ b/internal/gateway/estimator/estimator_test.go
@@ -10,13 +10,13 @@
 	"quincepath.example/quincepath/internal/gateway/estimator"
 )
 
-// engine answers with true figures, and with what makes single answers say something else.
+// engine responds with its true performance, with noise and outliers.
 type engine struct {
 	rate, step, pause, plain float64
 	random                   *rand.Rand
 }
 
-// answer feeds one answer to the estimator: one in six is stuck for seconds, one in six had its prompt cached unknown to all.
+// answer feeds one response to the estimator. One in six is stuck for seconds, and one in six has its prompt cached unexpectedly.
 func (g *engine) answer(e *estimator.Estimator) {
 	noise := 0.8 + 0.4*g.random.Float64()
 	tokens := 1000 + 20_000*g.random.Float64()
@@ -40,8 +40,8 @@
 	assert.Assert(t, math.Abs(got/want-1) <= part, "%s: %.3f, true %.3f", what, got, want)
 }
 
-// Load: engines unlike those that the first guesses come from.
-// Grounds: a policy that expects the wrong times lets long prompts in beside streams, or leaves engines idle.
+// The estimates must adapt to engines unlike those of the initial values. With wrong expected times, the policy would send
+// long prompts to engines where they stall streams, or leave engines idle.
 func TestFiguresOfUnlikeEnginesAreLearned(t *testing.T) {
 	engines := map[string]engine{
 		"slow reading, fast steps": {rate: 20, step: 2, pause: 600, plain: 60},
@@ -62,14 +62,14 @@
 			within(t, "reading", figures.PrefillTokensPerMS, g.rate, 0.15)
 			within(t, "step", figures.StepMS, g.step, 0.15)
 			within(t, "plain call", figures.PlainCallMS, g.plain, 0.15)
-			// Seven of ten streams stay under it.
+			// Seven of ten streams stay below the estimate.
 			within(t, "reading pause", figures.PrefillGapMS, g.pause*1.08, 0.15)
 		})
 	}
 }
 
-// Load: all engines of a pool turn five times as slow and back, at 100 answers a second.
-// Grounds: until the figures follow, each server's own speed has to explain it.
+// All engines of a pool become five times as slow and recover, at 100 responses a second. Until the estimates
+// follow, the change shows up in the slowdown of each server.
 func TestFiguresFollowAChange(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 4))
 	fast := engine{rate: 100, step: 5, pause: 120, plain: 15, random: random}
