--- a/internal/gateway/router/router.go
+++ b/internal/gateway/router/router.go
@@ -1,7 +1,7 @@
 // Package router finds the route and the organisation of a request.
 //
-// A Table is immutable and made whole from one configuration, so that a request
-// is never judged by parts of two versions.
+// A Table is immutable and built from a single configuration, so that a request
+// is never handled by parts of two versions.
 package router
 
 import (
@@ -15,31 +15,31 @@
 	"quincepath.example/quincepath/internal/gateway/cataloguer"
 )
 
-// Table finds routes and organisations of one configuration. It is immutable.
+// Table finds the routes and organisations of one configuration. It is immutable.
 type Table struct {
-	// Version is that of the configuration.
+	// Version is the version of the configuration.
 	Version int64
 	Limits  cataloguer.Limits
-	// hosts holds the routes of a host, longest prefix first.
+	// hosts holds the routes of each host, longest path prefix first.
 	hosts    map[string][]cataloguer.Route
 	services map[string]cataloguer.Service
-	// keys maps the hash of an API key to its organisation, so that a look-up takes no longer for a better guess.
+	// keys maps the hash of an API key to its organisation. Looking up a hash doesn't reveal by its timing how much of a guessed key is right.
 	keys map[[sha256.Size]byte]*cataloguer.Organisation
-	// keyed says that requests need a key unless their route is anonymous.
-	keyed bool
-	// organisationLevels and routeLevels are the priorities that occur, the most urgent first.
+	// keysRequired is set if requests need a key unless their route is anonymous.
+	keysRequired bool
+	// organisationLevels and routeLevels are the distinct priorities in use, most urgent first.
 	organisationLevels, routeLevels []int
 }
 
 // New returns the table of a configuration.
 func New(configuration cataloguer.Configuration) *Table {
 	t := &Table{
-		Version:  configuration.Version,
-		Limits:   configuration.Limits,
-		hosts:    make(map[string][]cataloguer.Route),
-		services: make(map[string]cataloguer.Service, len(configuration.Services)),
-		keys:     make(map[[sha256.Size]byte]*cataloguer.Organisation),
-		keyed:    len(configuration.Organisations) > 0,
+		Version:      configuration.Version,
+		Limits:       configuration.Limits,
+		hosts:        make(map[string][]cataloguer.Route),
+		services:     make(map[string]cataloguer.Service, len(configuration.Services)),
+		keys:         make(map[[sha256.Size]byte]*cataloguer.Organisation),
+		keysRequired: len(configuration.Organisations) > 0,
 	}
 
 	for _, route := range configuration.Routes {
@@ -66,7 +66,7 @@
 	return t
 }
 
-// Route returns the route with the longest prefix that begins the path.
+// Route returns the route of the host with the longest path prefix that matches.
 func (t *Table) Route(host, path string) (*cataloguer.Route, bool) {
 	routes := t.hosts[canonicalHost(host)]
 
@@ -79,59 +79,59 @@
 	return nil, false
 }
 
-// Service returns a service by its name; an unknown one has no limits.
+// Service returns a service by name, or one without limits if the name is unknown.
 func (t *Table) Service(name string) cataloguer.Service {
 	return t.services[name]
 }
 
-// NeedsKey says whether requests of the route must show a key.
+// NeedsKey reports whether requests of the route must have an API key.
 func (t *Table) NeedsKey(route *cataloguer.Route) bool {
-	return t.keyed && !route.Anonymous
+	return t.keysRequired && !route.Anonymous
 }
 
-// Organisation returns the holder of an API key.
+// Organisation returns the organisation of an API key.
 func (t *Table) Organisation(key string) (*cataloguer.Organisation, bool) {
 	organisation, ok := t.keys[sha256.Sum256([]byte(key))]
 
 	return organisation, ok
 }
 
-// EngineRanks is the number of ranks that engines tell apart.
+// EngineRanks is the number of ranks that engines distinguish.
 const EngineRanks = 10
 
 // Rank is the urgency of a request.
 type Rank struct {
-	// Priority is the place of its route's priority among those of all routes, 0 first.
+	// Priority is the rank of the route's priority among those of all routes, from 0, the most urgent.
 	Priority int
-	// OrganisationRank is the place of its organisation's priority among those of all organisations, 0 first.
+	// OrganisationRank is the rank of the organisation's priority among those of all organisations, from 0, the most urgent.
 	OrganisationRank int
-	// EngineRank combines both for engines: from 0, the first, to Ranks-1.
+	// EngineRank combines both for engines, from 0, the most urgent, to EngineRanks-1.
 	EngineRank int
 }
 
-// Rank returns the urgency of a request of an organisation, which may be nil. The route's priority goes first, the
-// organisation's decides among equals. Were the organisation's put in place of the route's, or before it, engines
-// would set chats back while long drafts run on.
+// Rank returns the urgency of a request of an organisation, which may be nil. The route's priority decides first,
+// and the organisation's among equals. If the organisation's priority replaced the route's or went first, engines
+// would preempt chats while long drafts run on.
 func (t *Table) Rank(route *cataloguer.Route, organisation *cataloguer.Organisation) Rank {
-	// Who has no priority comes with the last of those who have.
-	orders := max(len(t.organisationLevels), 1)
-	rank := Rank{OrganisationRank: orders - 1}
+	// An organisation without a priority ranks with the last of those that have one.
+	organisationRanks := max(len(t.organisationLevels), 1)
+	rank := Rank{OrganisationRank: organisationRanks - 1}
 
 	if organisation != nil && organisation.Priority != nil {
 		rank.OrganisationRank, _ = slices.BinarySearch(t.organisationLevels, *organisation.Priority)
 	}
 
 	rank.Priority, _ = slices.BinarySearch(t.routeLevels, route.Priority)
-	rank.EngineRank = rank.Priority*orders + rank.OrganisationRank
+	rank.EngineRank = rank.Priority*organisationRanks + rank.OrganisationRank
 
-	if total := orders * len(t.routeLevels); total > EngineRanks {
+	if total := organisationRanks * len(t.routeLevels); total > EngineRanks {
 		rank.EngineRank = rank.EngineRank * EngineRanks / total
 	}
 
 	return rank
 }
 
-// levels returns the priorities of organisations and of routes that occur, in order.
+// levels returns the distinct priorities of organisations and of routes, most urgent first.
 func levels(configuration cataloguer.Configuration) (organisations, routes []int) {
 	for _, organisation := range configuration.Organisations {
 		if organisation.Priority != nil {
@@ -149,8 +149,8 @@
 	return slices.Compact(organisations), slices.Compact(routes)
 }
 
-// PickService returns the service for a request of the route: the same one for the same
-// request id, in proportion to the weights. It returns "" for a route without services.
+// PickService returns the service for a request of the route, in proportion to the weights and always the same one
+// for the same request ID. It returns "" for a route without services.
 func PickService(route *cataloguer.Route, requestID string) string {
 	total := 0
 	for _, share := range route.Shares {
@@ -161,14 +161,14 @@
 		return ""
 	}
 
-	place := int(xxhash.Sum64String(requestID) % uint64(total))
+	offset := int(xxhash.Sum64String(requestID) % uint64(total))
 
 	for _, share := range route.Shares {
-		if place < share.Weight {
+		if offset < share.Weight {
 			return share.Service
 		}
 
-		place -= share.Weight
+		offset -= share.Weight
 	}
 
 	return ""
--- a/internal/gateway/router/router_test.go
+++ b/internal/gateway/router/router_test.go
@@ -79,9 +79,8 @@
 	assert.Equal(t, router.PickService(&cataloguer.Route{}, "none"), "")
 }
 
-// Symptom: engines set chats back while long drafts run on.
-// Sequence: every organisation has a priority, as on all deployments; chats and drafts come from the same one.
-// Cause: the organisation's priority stood in place of the route's, so that both had the same rank.
+// Every organisation has a priority, and chats and drafts come from the same one. If the organisation's priority
+// replaced the route's, both would have the same rank, and engines would preempt chats while long drafts run on.
 func TestRankGoesByRouteThenOrganisation(t *testing.T) {
 	first, second := 0, 1
 	chat, draft := cataloguer.Route{Name: "chat", Priority: 0}, cataloguer.Route{Name: "draft", Priority: 2}
