--- a/internal/gateway/balancer/admission.go
+++ b/internal/gateway/balancer/admission.go
@@ -7,18 +7,19 @@
 )
 
 const (
-	// lateQueueSeconds is the number of late requests that may go on waiting, in seconds of what the pool grants.
-	// They are worth serving once the burst is over; more of them would only wait for their refusal.
+	// lateQueueSeconds limits the late requests that stay queued, in seconds of the grant rate. They are worth
+	// serving after a burst; any more would only wait to be refused.
 	lateQueueSeconds = 0.7
-	// patienceFraction is the part of its time that a request which can't meet its target may wait.
+	// patienceFraction is the fraction of its time limit that a request may wait if it can't meet its target.
 	patienceFraction = 0.15
 )
 
-// admit says whether a request that has to wait may join the queue, and else how long the queue takes to drain. It
-// may while it can get room early enough for its target, or while few of those that can't are waiting.
+// admit reports whether a request that has to wait may join the queue, and if not, how long the queue takes to
+// drain. It may join if it can get a server early enough for its target, or if the queue is short enough for
+// its patience.
 //
-// Under overload it would else wait until it is late, only to be refused for the room that there isn't. Refused at
-// once, its caller can go elsewhere or come back when the queue is shorter.
+// Under overload it would otherwise wait until it is late and then be refused. After an immediate refusal, the
+// caller can go elsewhere or come back when the queue is shorter.
 func (p *Pool) admit(now time.Time, request *Request) (time.Duration, bool) {
 	if request.Target == 0 {
 		return 0, true
@@ -38,17 +39,16 @@
 		return 0, true
 	}
 
-	inTime := lateAfterFraction * request.Target.Seconds() * rate
-	if float64(ahead) <= inTime || float64(waiting) <= patience(request).Seconds()*rate {
+	servedInTime := lateAfterFraction * request.Target.Seconds() * rate
+	if float64(ahead) <= servedInTime || float64(waiting) <= patience(request).Seconds()*rate {
 		return 0, true
 	}
 
 	return time.Duration(float64(waiting) / max(rate, 1) * float64(time.Second)), false
 }
 
-// patience is how long the request may wait: as long as it can meet its target, or else for a small part of its time. One
-// that waits for longer is hardly ever served and learns late that it won't be; refused early, its caller may come
-// back in time.
+// patience returns how long the request may wait: as long as it can meet its target, or else for a small fraction
+// of its time limit. A request that waits longer is rarely served. Refused early, its caller may come back in time.
 func patience(request *Request) time.Duration {
 	if request.Target == 0 {
 		return request.TimeLimit
@@ -57,32 +57,32 @@
 	return time.Duration(max(lateAfterFraction*float64(request.Target), patienceFraction*float64(request.TimeLimit)))
 }
 
-// maxLate is the number of late requests that may wait while so many requests get room in a second.
+// maxLate returns the number of late requests that may stay queued at the given grant rate, in requests a second.
 func (p *Pool) maxLate(rate float64) int {
 	return int(lateQueueSeconds*rate) + len(p.servers)
 }
 
-// hasEligibleServer says whether any server may get the request once it has room.
+// hasEligibleServer reports whether any server could take the request once it has room.
 func (p *Pool) hasEligibleServer(now time.Time, request *Request) bool {
 	return slices.ContainsFunc(p.servers, func(s *server) bool {
 		return s.usable(now) && !slices.Contains(request.Excluded, s.ID)
 	})
 }
 
-// outranked says whether a request that waits goes before the work.
+// outranked reports whether a queued request goes before this one.
 func (p *Pool) outranked(request *Request) bool {
 	return slices.ContainsFunc(p.queue, func(q *queued) bool { return q.sortRank <= baseRank(request) })
 }
 
-// shed drops the requests that have no prospect: those whose time is over, and of those that are late as many as are
-// more than will be served soon, the least urgent first and of these the oldest. They learn it at once, so that they can come back.
+// shed removes requests that won't be served in time: those whose waiting time is over, and the surplus of late
+// ones, least urgent first and oldest first among these. They are refused at once, so that callers can come back.
 func (p *Pool) shed(now time.Time) []Grant {
 	surplus := p.surplus(now)
 
 	var refused []Grant
 
 	p.queue = slices.DeleteFunc(p.queue, func(q *queued) bool {
-		if !surplus[q] && !now.After(q.until) {
+		if !surplus[q] && !now.After(q.refuseAt) {
 			return false
 		}
 
@@ -95,7 +95,7 @@
 	return refused
 }
 
-// surplus returns the late requests that are more than will be served soon.
+// surplus returns the late requests in excess of those that will be served soon.
 func (p *Pool) surplus(now time.Time) map[*queued]bool {
 	var late []*queued
 
@@ -110,9 +110,9 @@
 		return nil
 	}
 
-	// In order of rank an urgent request would be dropped before all others, since it is first among the late ones too.
+	// By rank, an urgent request would be dropped before all others, as the late requests are dropped from the front.
 	slices.SortStableFunc(late, func(a, b *queued) int {
-		return cmp.Or(cmp.Compare(b.request.Priority, a.request.Priority), a.since.Compare(b.since))
+		return cmp.Or(cmp.Compare(b.request.Priority, a.request.Priority), a.queuedAt.Compare(b.queuedAt))
 	})
 
 	surplus := make(map[*queued]bool, excess)
--- a/internal/gateway/balancer/bench_test.go
+++ b/internal/gateway/balancer/bench_test.go
@@ -8,7 +8,7 @@
 	"quincepath.example/quincepath/internal/gateway/balancer"
 )
 
-// BenchmarkDecision is what a holder spends on one request: the choice, its first event and its end.
+// BenchmarkDecision measures a holder's cost of one request: the choice, its first event and its end.
 func BenchmarkDecision(b *testing.B) {
 	for _, servers := range []int{12, 30} {
 		b.Run(fmt.Sprint(servers, "-servers"), func(b *testing.B) {
@@ -26,12 +26,12 @@
 	}
 }
 
-// BenchmarkFullQueue is what a holder spends on one request while hundreds wait: it asks, waits, gets
-// room, its first event comes, and it ends.
+// BenchmarkFullQueue measures a holder's cost of one request while hundreds are queued: it asks, is queued,
+// gets a server, has its first event, and ends.
 func BenchmarkFullQueue(b *testing.B) {
 	const (
 		waiting = 600
-		// step is the time between two requests at 600 a second.
+		// step is the interval between requests at about 600 a second.
 		step = 1600 * time.Microsecond
 	)
 
--- a/internal/gateway/balancer/ejection.go
+++ b/internal/gateway/balancer/ejection.go
@@ -3,20 +3,20 @@
 import "time"
 
 const (
-	// failureHalfLife is the time in which the share of failures halves.
+	// failureHalfLife is the half-life of the failure fraction.
 	failureHalfLife = 2 * time.Second
 	failureGain     = 0.25
-	// ejectionThreshold is the share of failures from which a server is left out, ejectedPart the greatest part of a pool's servers
-	// that is left out for it.
+	// ejectionThreshold is the fraction of failures at which a server is ejected. maxEjectedFraction is the largest fraction of a
+	// pool's servers that may be ejected for failures.
 	ejectionThreshold  = 0.7
 	maxEjectedFraction = 1.0 / 3
-	// minEjection is how long a server is left out that took no connection or fails nearly all requests.
-	// It doubles with each further time up to mostEjection. Its empty slots would else draw all that waits.
+	// minEjection is the first ejection of a server that accepts no connections or fails nearly all requests. Each
+	// further ejection is twice as long, up to maxEjection. Otherwise its empty slots would attract all queued requests.
 	minEjection = 300 * time.Millisecond
 	maxEjection = 2 * time.Second
 )
 
-// recordOutcome learns from how a request ended. A server that fails nearly all of its requests is left out if it may be.
+// recordOutcome updates the failure fraction. A server that fails nearly all of its requests is ejected if mayEject is set.
 func (s *server) recordOutcome(outcome Outcome, now time.Time, mayEject bool) {
 	failed := 0.0
 
@@ -27,12 +27,12 @@
 		failed = 1
 	case Unreachable:
 		failed = 1
-		// Attempts that failed together count once.
+		// Attempts that failed together cause one ejection.
 		s.ejectWithBackoff(now)
 	case Replaced:
-		// A server that crashed and started again is listed under its old id until its lease ends, seconds
-		// later. Meanwhile it answers at once that it isn't the one that was meant: with its empty slots it
-		// would draw, and refuse, all that waits.
+		// A server that crashed and restarted is listed under its old ID until its lease ends, seconds later. Until
+		// then it immediately answers that it is not the requested instance; with its empty slots it would attract and
+		// refuse all queued requests.
 		failed = 1
 		s.eject(now, maxEjection)
 	case Served:
@@ -42,25 +42,25 @@
 	s.failures = (1-failureGain)*s.failuresNow(now) + failureGain*failed
 	s.failedAt = now
 
-	// The places of a server that fails at once are always free, so that it would draw all that waits for the others.
+	// The slots of a server that fails immediately are always free, so it would attract all queued requests.
 	if outcome == Failed && mayEject && (s.lastEjection > 0 || s.failures > ejectionThreshold) {
 		s.ejectWithBackoff(now)
 	}
 }
 
-// ejectWithBackoff leaves the server out for twice as long as the last time.
+// ejectWithBackoff ejects the server for twice as long as the last time.
 func (s *server) ejectWithBackoff(now time.Time) {
 	if now.After(s.ejectedUntil) {
 		s.eject(now, min(max(2*s.lastEjection, minEjection), maxEjection))
 	}
 }
 
-// onTrial says whether the server was left out and has answered nothing since.
+// onTrial reports whether the server was ejected and has answered nothing since.
 func (s *server) onTrial() bool {
 	return s.lastEjection > 0
 }
 
-// eject keeps new requests from the server for a span of time.
+// eject stops new requests to the server for the given time.
 func (s *server) eject(now time.Time, span time.Duration) {
 	s.lastEjection = span
 	s.ejectedUntil = now.Add(span)
--- a/internal/gateway/balancer/ejection_test.go
+++ b/internal/gateway/balancer/ejection_test.go
@@ -10,17 +10,17 @@
 	"quincepath.example/quincepath/internal/gateway/balancer"
 )
 
-// failingPool is a pool under more load than its engines bear, some of which fail their requests.
+// failingPool is an overloaded pool in which some engines fail their requests.
 type failingPool struct {
-	*shop
+	*simulation
 
-	// fails says whether an upstream fails its next request.
+	// fails reports whether an upstream fails its next request.
 	fails func(upstream string) bool
-	// sent and failed count the requests after the first second, by upstream.
+	// sent and failed count the requests by upstream, after the first second.
 	sent, failed map[string]int
 }
 
-// settle ends a request that fails soon after it is sent.
+// settle places a request, or ends it shortly after it is sent if the upstream fails it.
 func (f *failingPool) settle(now time.Time, id, upstream string) {
 	late := now.Sub(start) > time.Second
 	if late {
@@ -40,7 +40,7 @@
 	f.pool.RecordEnd(now.Add(5*time.Millisecond), id, balancer.Failed)
 }
 
-// run sends twice what the engines can take, for five seconds.
+// run sends twice the load that the engines can take, for 5 seconds.
 func (f *failingPool) run(engines int) {
 	for i := range 500 {
 		now := at(time.Duration(i) * 10 * time.Millisecond)
@@ -68,23 +68,23 @@
 
 func newFailingPool(p *balancer.Pool, fails func(upstream string) bool) *failingPool {
 	return &failingPool{
-		shop:  &shop{pool: p, placed: map[string]bool{}, asked: map[string]time.Time{}},
-		fails: fails, sent: map[string]int{}, failed: map[string]int{},
+		simulation: &simulation{pool: p, placed: map[string]bool{}, asked: map[string]time.Time{}},
+		fails:      fails, sent: map[string]int{}, failed: map[string]int{},
 	}
 }
 
-// Load: an overload beside an engine that fails each request at once. Guards against the empty places of a failing engine
-// drawing what waits while all others are full.
+// Under overload, the empty slots of an engine that fails every request at once must not attract the queued
+// requests while all other engines are full.
 func TestFailingEngineDrawsNothingUnderOverload(t *testing.T) {
 	f := newFailingPool(engines(10, 12), func(upstream string) bool { return upstream == "a" })
 	f.run(10)
 
-	// One trial every two seconds, and as many again while the span grows.
+	// One trial every 2 seconds, and as many again while the ejection time grows.
 	assert.Assert(t, f.failed["a"] <= 8, "%d requests failed", f.failed["a"])
 	assert.Assert(t, f.sent["b"] > 10)
 }
 
-// Load: an overload in which all engines fail half of their requests. Guards against leaving all of them out.
+// When all engines fail half of their requests under overload, they must not all be ejected.
 func TestEnginesThatAllFailHalfAreUsed(t *testing.T) {
 	turn := 0
 	f := newFailingPool(engines(10, 12), func(string) bool {
--- a/internal/gateway/balancer/engine_test.go
+++ b/internal/gateway/balancer/engine_test.go
@@ -11,7 +11,7 @@
 	"quincepath.example/quincepath/internal/gateway/balancer"
 )
 
-// draft is a request with a long shared part, as one of a reading list.
+// draft returns a request with a long shared prompt part.
 func draft(id, session string) balancer.Request {
 	return balancer.Request{
 		ID: id, Priority: notesPriority, PromptTokens: 16_000, OutputTokens: 120, TimeLimit: 8 * time.Second,
@@ -20,9 +20,9 @@
 	}
 }
 
-// Load: many requests of a few sessions, whose shared part is most of the prompt, at an engine with memory for six prompts.
-// Grounds: the engine keeps a shared part once. Counted for each request, it filled the engine with six of them; the
-// others were sent to engines that had to read 13,000 tokens again.
+// An engine stores a shared prompt part once. If it were counted for each request, six requests would fill an
+// engine that has memory for six prompts, and the others of the session would go to engines that have to
+// read 13,000 tokens again.
 func TestSharedPartTakesUpMemoryOnce(t *testing.T) {
 	p := newPool(1, 64, balancer.Engine{CacheTokens: 100_000, EventTokens: 5})
 	now := at(0)
@@ -48,11 +48,10 @@
 	assert.Equal(t, grants[0].ID, "other")
 }
 
-// Symptom: under overload most answers are late and many end without being read, since their callers have left.
-// Sequence: the engine that knows a session has far more to read than it can before the target; a request of the session
-// has waited for half of its patience; another engine gets room.
-// Cause: a request that had waited for long went to any engine with a slot, whatever waited there: engines had
-// 47,000 prompt tokens waiting at the median, 200,000 in one case of ten.
+// A request that has waited for half of its patience must not go to an engine whose backlog makes it miss its
+// target. When it took any engine with a slot, engines had a backlog of 47,000 prompt tokens at the median and
+// 200,000 in 1 of 10 cases. Under overload most responses were then late, and many were never read because
+// their callers had left.
 func TestLongWaitOpensNoEngineThatIsLateAnyway(t *testing.T) {
 	p := newPool(2, 64, balancer.Engine{CacheTokens: 600_000, EventTokens: 5})
 	engine := granted(t, p, at(0), draft("first", "s"))
@@ -64,7 +63,7 @@
 		other = "a"
 	}
 
-	// Nodes that don't reach this holder fill both engines.
+	// Nodes that can't reach this holder fill both engines.
 	long, short := draft("long", "l"), draft("short", "k")
 	long.PromptTokens, short.PromptTokens = 300_000, 20_000
 	p.AddRunning(at(1000*time.Millisecond), engine, long)
@@ -80,8 +79,8 @@
 	assert.Equal(t, grants[0].Choice.Upstream, other)
 }
 
-// Load: requests at engines that read five times as slowly, or four times as fast, as the first guess has it.
-// Grounds: with figures of other engines the expected time to the first event is wrong by as much.
+// The expected time to the first event must adapt to engines that read prompts five times as slowly or four times as
+// fast as the initial estimate. Otherwise it is wrong by the same factor.
 func TestTimeToTheFirstEventIsLearned(t *testing.T) {
 	for _, rate := range []float64{22, 60, 440} {
 		t.Run(fmt.Sprint(rate), func(t *testing.T) {
@@ -104,9 +103,8 @@
 	}
 }
 
-// Symptom: a node that becomes a holder takes all engines for several times as fast as they are.
-// Sequence: other nodes tell it of requests whose answers have begun.
-// Cause: their first event was taken to come at the moment at which they were told.
+// A new holder is told of requests whose responses have begun. If the time of the report counted as the time of the
+// first event, all engines would appear several times as fast as they are.
 func TestRequestsThatContinueSayNothingOfTheSpeed(t *testing.T) {
 	p := newPool(1, 64, balancer.Engine{CacheTokens: 2_000_000, EventTokens: 5})
 	before := p.Estimates()
--- a/internal/gateway/balancer/loss.go
+++ b/internal/gateway/balancer/loss.go
@@ -6,30 +6,30 @@
 )
 
 const (
-	// chunkLoss is the loss that a chunk of prompt work causes to requests yet to come. At a quarter of it requests left
-	// the engines of their sessions for those that answer sooner: 10% more was read, and 3% less of all was worth something.
+	// chunkLoss is the loss that a chunk of prefill work causes to later requests. At a quarter of this value, requests
+	// left the engines with their sessions for faster ones: 10% more tokens were read, and 3% less value was served.
 	chunkLoss = 0.2
-	// slopeLoss keeps load even where no target is in danger.
+	// slopeLoss balances the load even where no target is at risk.
 	slopeLoss = 0.05
-	// failureLoss is the loss of an attempt that fails: what it is worth and a repetition.
+	// failureLoss is the loss of a failed attempt: the value of the request and a retry.
 	failureLoss = 1.5
-	// stallChunks is the recent prompt work in chunks beside which a sensitive stream surely stalls: what engines that are
-	// always reading get in some 1.5 s.
+	// stallChunks is the recent prompt work in chunks at which a sensitive stream is certain to stall: what an engine
+	// that prefills continuously gets in about 1.5 s.
 	stallChunks = 32.0
-	// firstStreamLoss draws sensitive streams together, so that servers without any are left for long prompts.
+	// firstStreamLoss groups sensitive streams on few servers, which leaves the others for long prompts.
 	firstStreamLoss = 0.1
 	// fullBatchLoss is the loss of waiting at a server whose batch is full.
 	fullBatchLoss = 2.0
-	// networkMS is the time of the way to a server and back, in milliseconds.
+	// networkMS is the round-trip time to a server.
 	networkMS = 3.0
 )
 
-// priorityWeight is how much a request of a priority counts against others: half for each rank.
+// priorityWeight returns the weight of a request in the loss. It halves with each priority.
 func priorityWeight(priority int) float64 {
 	return 4 * math.Exp2(-float64(min(max(priority, 0), 9)))
 }
 
-// expectedMS is the predicted time to the first event in milliseconds.
+// expectedMS returns the predicted time to the first event.
 func (p *Pool) expectedMS(now time.Time, s *server, request *Request) float64 {
 	if s.engine.CacheTokens == 0 {
 		rounds := (float64(len(s.running)) + s.foreignNow(now)) / float64(max(s.Slots, 1))
@@ -40,17 +40,17 @@
 	return networkMS + s.slowdownNow(now)*(s.prefillMS(s.backlogNow(now)+s.prefillTokens(request))+p.eventGapMS())
 }
 
-// loss is the expected loss of sending the work to the server.
+// loss returns the expected loss of sending the request to the server.
 func (p *Pool) loss(now time.Time, s *server, request *Request) float64 {
-	worth := priorityWeight(request.Priority)
+	weight := priorityWeight(request.Priority)
 	expected := p.expectedMS(now, s, request) + s.overdueMS(now)
 	target := max(milliseconds(request.Target), 1)
 
-	loss := worth * (missProbability(expected/target) + slopeLoss*expected/target)
-	loss += worth * failureLoss * s.failuresNow(now)
+	loss := weight * (missProbability(expected/target) + slopeLoss*expected/target)
+	loss += weight * failureLoss * s.failuresNow(now)
 
 	if running := float64(len(s.running)) + s.foreignNow(now); running >= float64(s.Slots) {
-		loss += worth * fullBatchLoss * (running - float64(s.Slots) + 1) / float64(max(s.Slots, 1))
+		loss += weight * fullBatchLoss * (running - float64(s.Slots) + 1) / float64(max(s.Slots, 1))
 	}
 
 	if s.engine.CacheTokens == 0 {
@@ -60,45 +60,45 @@
 	return loss + p.interferenceLoss(now, s, request)
 }
 
-// interferenceLoss is the loss through prompts that are read beside streams, and the price of the work.
+// interferenceLoss returns the loss from prefill that delays streams, and the cost of the prefill work itself.
 func (p *Pool) interferenceLoss(now time.Time, s *server, request *Request) float64 {
-	reading := s.prefillTokens(request)
-	loss := chunkLoss * reading / chunkTokens * s.slowdownNow(now)
+	prefillTokens := s.prefillTokens(request)
+	loss := chunkLoss * prefillTokens / chunkTokens * s.slowdownNow(now)
 
-	for limit, streams := range s.sensitiveStreams {
+	for limit, streamWeight := range s.sensitiveStreams {
 		before := missProbability(p.prefillGapMS(now, s, s.backlog) / milliseconds(limit))
-		after := missProbability(p.prefillGapMS(now, s, s.backlog+reading) / milliseconds(limit))
-		loss += streams * (after - before)
+		after := missProbability(p.prefillGapMS(now, s, s.backlog+prefillTokens) / milliseconds(limit))
+		loss += streamWeight * (after - before)
 	}
 
-	own := p.sensitivity(request)
-	if own == 0 {
+	sensitivity := p.sensitivity(request)
+	if sensitivity == 0 {
 		return loss
 	}
 
-	loss += priorityWeight(request.Priority) * own * min(1, s.recentTokensNow(now)*s.slowdownNow(now)/(stallChunks*chunkTokens))
+	loss += priorityWeight(request.Priority) * sensitivity * min(1, s.recentTokensNow(now)*s.slowdownNow(now)/(stallChunks*chunkTokens))
 
 	if len(s.sensitiveStreams) == 0 {
-		loss += firstStreamLoss * own
+		loss += firstStreamLoss * sensitivity
 	}
 
 	return loss
 }
 
-// eventGapMS is the time between two events in milliseconds while no prompts are read.
+// eventGapMS returns the time between two events while the engine prefills nothing.
 func (p *Pool) eventGapMS() float64 {
 	return p.model.Estimates().StepMS * float64(max(p.engine.EventTokens, 1))
 }
 
-// prefillGapMS is the longest pause between events in milliseconds while a backlog of prompt tokens is read.
+// prefillGapMS returns the longest gap between events while a backlog of prompt tokens is read.
 func (p *Pool) prefillGapMS(now time.Time, s *server, backlog float64) float64 {
-	calm := p.eventGapMS()
+	idleGapMS := p.eventGapMS()
 
-	return s.slowdownNow(now) * (calm + min(s.prefillMS(backlog), max(p.model.Estimates().PrefillGapMS-calm, 0)))
+	return s.slowdownNow(now) * (idleGapMS + min(s.prefillMS(backlog), max(p.model.Estimates().PrefillGapMS-idleGapMS, 0)))
 }
 
-// sensitivity is how much a stream suffers from prompts read beside it: from 0 where its gap
-// limit is three times the pause while a prompt is read, to 1 at half of that.
+// sensitivity returns how much prefill on the same engine disturbs a stream: 0 if its gap limit is at least 3
+// times the gap during prefill, 1 if it is at most 1.5 times that gap.
 func (p *Pool) sensitivity(request *Request) float64 {
 	if request.GapLimit == 0 || p.engine.EventTokens == 0 {
 		return 0
@@ -109,7 +109,7 @@
 	return min(max((3-ratio)/1.5, 0), 1)
 }
 
-// missProbability is the chance to miss a limit when the prediction is the given part of it.
+// missProbability returns the probability of exceeding a limit, given the ratio of the prediction to the limit.
 func missProbability(ratio float64) float64 {
 	const begin, end = 0.5, 1.1
 
--- a/internal/gateway/balancer/matching.go
+++ b/internal/gateway/balancer/matching.go
@@ -6,32 +6,32 @@
 )
 
 const (
-	// maxDeclined bounds the work of one look for room: a choice looks at all servers.
+	// maxDeclined limits the work of one GrantQueued call, as each choice examines all servers.
 	maxDeclined = 2
-	// acceptAnyFraction is the part of its patience after which a request doesn't wait for the right server any more.
+	// acceptAnyFraction is the fraction of its patience after which a request no longer waits for the best server.
 	acceptAnyFraction = 0.5
-	// matchWindow is the number of waiting requests among which room is given, and matchRank how much further
-	// back in rank than the first of them one may be: 450 ms of waiting, so that a request whose session no
-	// engine knows gets room before its patience is over.
+	// matchWindow is the number of queued requests that compete for free room. matchRankRange is how much higher
+	// than the first one's rank theirs may be: equivalent to 450 ms of waiting, so that a request whose session
+	// no engine has cached gets a server before its patience ends.
 	matchWindow    = 64
 	matchRankRange = 0.3
-	// uncachedWeight is what a token that must still be read counts against one that is known. Shorter prompts let more
-	// requests be served; by length alone 0.36 of the longest tenth were, and 0.78 of all.
+	// uncachedWeight is the weight of an uncached token relative to a cached one. Serving shorter prompts first
+	// serves more requests, but ordering by length alone served 0.36 of the longest tenth and 0.78 of all.
 	uncachedWeight = 0.35
 )
 
-// nextMatch returns the request that is to get the room that there is: of those with the priority of the
-// first one that fits and about its waiting time, the one that fits the servers with room best.
+// nextMatch returns the queued request to which the free room goes. Among those that have the priority of the first
+// one that fits and have waited about as long, it is the one that best fits the servers with room.
 //
-// Under overload the room is always at one server only. Taken strictly in turn, a request would hardly
-// ever meet the server that has read its session before. By what must still be read
-// alone the longest prompts would never get room.
+// Under overload only one server has room at a time. In strict queue order, a request would rarely
+// get the server that has cached its session. Ordered by uncached tokens alone, the longest prompts
+// would never be served.
 func (p *Pool) nextMatch(now time.Time, declined map[*queued]bool) (*queued, bool) {
 	var (
 		head, best *queued
 		bestFit    = math.Inf(-1)
-		// seen is the number of requests that had room.
-		seen = 0
+		// fitting is the number of requests that fit.
+		fitting = 0
 	)
 
 	open := p.openServers(now)
@@ -44,18 +44,18 @@
 			continue
 		}
 
-		// Only requests of the first one's priority compete with it.
+		// Only requests with the priority of the first one compete with it.
 		if head != nil && q.request.Priority != head.request.Priority {
 			continue
 		}
 
-		if seen == matchWindow || head != nil && q.sortRank > head.sortRank+matchRankRange {
+		if fitting == matchWindow || head != nil && q.sortRank > head.sortRank+matchRankRange {
 			break
 		}
 
 		q.request.TimeLimit = q.deadline.Sub(now)
-		q.request.Waited = now.Sub(q.since)
-		q.request.AcceptAny = q.request.Waited > time.Duration(float64(q.until.Sub(q.since))*acceptAnyFraction)
+		q.request.Waited = now.Sub(q.queuedAt)
+		q.request.AcceptAny = q.request.Waited > time.Duration(float64(q.refuseAt.Sub(q.queuedAt))*acceptAnyFraction)
 
 		fit, ok := p.bestFit(now, open, &q.request)
 		if !ok {
@@ -66,7 +66,7 @@
 			head = q
 		}
 
-		seen++
+		fitting++
 
 		if fit > bestFit {
 			best, bestFit = q, fit
@@ -76,8 +76,8 @@
 	return best, best != nil
 }
 
-// bestFit tells how well the request goes with the best of the servers that take it, in prompt tokens: what it has
-// read of the prompt, less a part of what it must still read.
+// bestFit returns how well the request fits the best server that accepts it, in prompt tokens: the cached ones
+// minus a fraction of the uncached ones.
 func (p *Pool) bestFit(now time.Time, open []*server, request *Request) (float64, bool) {
 	best, found := math.Inf(-1), false
 
@@ -91,7 +91,7 @@
 	return best, found
 }
 
-// openServers returns the servers that could take one more small request.
+// openServers returns the servers that could accept one more small request.
 func (p *Pool) openServers(now time.Time) []*server {
 	var open []*server
 
--- a/internal/gateway/balancer/observation.go
+++ b/internal/gateway/balancer/observation.go
@@ -3,26 +3,26 @@
 import "time"
 
 const (
-	// minObservedChunks is the prompt work in chunks from which the time to the first event tells how fast an engine reads.
+	// minObservedChunks is the shortest prompt, in chunks, whose time to the first event is used to estimate the prefill rate.
 	minObservedChunks = 1.0
-	// maxAheadRatio is the part of its own prompt that may wait before a request whose time is taken for that of its prompt.
+	// maxAheadRatio is the largest backlog ahead of a request, relative to its own prompt, for which its time is used to estimate the prefill rate.
 	maxAheadRatio = 1.0
-	// interferingChunks is the prompt work in chunks beside a stream that makes its pauses count as those of a reading engine.
+	// interferingChunks is the prompt work in chunks during a stream from which its longest gap counts as a gap during prefill.
 	interferingChunks = 2.0
-	// minEvents is the number of events from which a stream's pace says something.
+	// minEvents is the number of events from which the gaps of a stream are used.
 	minEvents = 3
 )
 
-// EventGaps tell how the events of a whole stream came.
+// EventGaps describes the gaps between the events of a complete stream.
 type EventGaps struct {
-	// Events counts them.
+	// Events is the number of events.
 	Events int `json:"n"`
-	// MeanMS and Longest are pauses between two events in milliseconds.
+	// MeanMS and LongestMS are the mean and the longest gap between two events.
 	MeanMS    float64 `json:"m"`
 	LongestMS float64 `json:"l"`
 }
 
-// RecordGaps records how the events of a request came. It is told before the request's end.
+// RecordGaps records the gaps between the events of a request. It must be called before RecordEnd.
 func (p *Pool) RecordGaps(id string, gaps EventGaps) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -32,39 +32,39 @@
 		return
 	}
 
-	// What it had to wait for belongs to the time beside it: it may still have been read.
-	beside := r.server.sentTokens - r.prefilledAtFirst
+	// Prompts that were in the backlog at the first event count as read during the stream, as they may have been.
+	prefilledDuring := r.server.sentTokens - r.prefilledAtFirst
 
 	switch {
-	case beside <= 0:
+	case prefilledDuring <= 0:
 		p.model.ObserveStep(gaps.MeanMS / float64(max(p.engine.EventTokens, 1)))
-	case beside >= interferingChunks*chunkTokens:
+	case prefilledDuring >= interferingChunks*chunkTokens:
 		p.model.ObservePrefillGap(gaps.LongestMS)
 	}
 }
 
-// observeFirst learns from the time to a first event, or to the answer of a plain service.
+// observeFirst updates the estimates from the time to the first event, or to the response of a plain service.
 func (p *Pool) observeFirst(r *runningRequest, now time.Time) {
 	if r.answering {
 		return
 	}
 
-	took := milliseconds(now.Sub(r.sentAt)) - networkMS
+	elapsedMS := milliseconds(now.Sub(r.sentAt)) - networkMS
 
 	if r.server.engine.CacheTokens == 0 {
 		if len(r.server.running) <= r.server.Slots {
-			p.model.ObservePlainCall(took)
+			p.model.ObservePlainCall(elapsedMS)
 		}
 
 		return
 	}
 
-	// What still waits to be read is read beside this stream.
+	// The remaining backlog is read while this stream runs.
 	r.prefilledAtFirst = r.server.sentTokens - max(r.server.backlog-r.prefillTokens, 0)
 
 	if r.prefillTokens < minObservedChunks*chunkTokens || r.backlogAhead > maxAheadRatio*r.prefillTokens {
 		return
 	}
 
-	p.model.ObservePrefill(r.prefillTokens+r.backlogAhead, max(took-p.eventGapMS(), 0))
+	p.model.ObservePrefill(r.prefillTokens+r.backlogAhead, max(elapsedMS-p.eventGapMS(), 0))
 }
--- a/internal/gateway/balancer/overload_test.go
+++ b/internal/gateway/balancer/overload_test.go
@@ -10,26 +10,26 @@
 	"quincepath.example/quincepath/internal/gateway/balancer"
 )
 
-// shop is a pool under load with what its requests are doing.
-type shop struct {
+// simulation is a pool under load with the state of its requests.
+type simulation struct {
 	pool   *balancer.Pool
-	active []visit
+	active []activeRequest
 	// long counts the long prompts that were read.
 	long    int
 	refused int
-	// asked is when each chat came, waits how long those waited that got an engine.
+	// asked is when each chat arrived, and waits lists how long the chats waited that got an engine.
 	asked map[string]time.Time
 	waits []time.Duration
 	// placed holds the requests that got an engine.
 	placed map[string]bool
 }
 
-type visit struct {
+type activeRequest struct {
 	id  string
 	end time.Time
 }
 
-func (s *shop) place(now time.Time, id string, isChat bool) {
+func (s *simulation) place(now time.Time, id string, isChat bool) {
 	length := 900 * time.Millisecond
 
 	switch {
@@ -43,11 +43,11 @@
 
 	s.placed[id] = true
 	s.pool.RecordFirstEvent(now.Add(80*time.Millisecond), id, nil)
-	s.active = append(s.active, visit{id: id, end: now.Add(length)})
+	s.active = append(s.active, activeRequest{id: id, end: now.Add(length)})
 }
 
-// endDue ends what is over.
-func (s *shop) endDue(now time.Time) {
+// endDue ends the requests whose end is due.
+func (s *simulation) endDue(now time.Time) {
 	left := s.active[:0]
 
 	for _, v := range s.active {
@@ -63,8 +63,8 @@
 	s.active = left
 }
 
-// finish ends what is over and gives the room to what waits.
-func (s *shop) finish(now time.Time) {
+// finish ends the requests that are due and places the queued requests that get room.
+func (s *simulation) finish(now time.Time) {
 	s.endDue(now)
 
 	for _, g := range s.pool.GrantQueued(now) {
@@ -78,7 +78,7 @@
 	}
 }
 
-func (s *shop) ask(now time.Time, work balancer.Request, isChat bool) {
+func (s *simulation) ask(now time.Time, work balancer.Request, isChat bool) {
 	if isChat {
 		s.asked[work.ID] = now
 	}
@@ -88,9 +88,9 @@
 	}
 }
 
-// overload sends several times the long prompts that the engines can read, with a chat every 50 ms, for five seconds.
-func overload(p *balancer.Pool, engines int) *shop {
-	s := &shop{pool: p, placed: map[string]bool{}, asked: map[string]time.Time{}}
+// overload sends several times the long prompts that the engines can read, and a chat every 50 ms, for 5 seconds.
+func overload(p *balancer.Pool, engines int) *simulation {
+	s := &simulation{pool: p, placed: map[string]bool{}, asked: map[string]time.Time{}}
 
 	for i := range 500 {
 		now := at(time.Duration(i) * 10 * time.Millisecond)
@@ -108,10 +108,10 @@
 	return s
 }
 
-// Load: long prompts at several times what the engines can read and hold, beside chats.
-// Grounds: engines read what is more urgent first, so a chat begins in time if it gets a place at once. Without places kept
-// for chats, and with the late ones refused in order of rank, 48 of 100 chats got no engine; with engines
-// of their own for chats 14, and the long prompts had too few: worth 0.70 against 0.75 on nine engines.
+// Long prompts arrive at several times the rate that the engines can read and hold. Engines read more urgent prompts
+// first, so a chat meets its target if it gets a slot at once. Without slots reserved for chats, and with late
+// requests refused in order of rank, 48 of 100 chats got no engine. With separate engines for chats 14 got none,
+// and the long prompts had too few engines: a value of 0.70 compared to 0.75 on nine engines.
 func TestChatsGetAnEngineAtOnceUnderOverload(t *testing.T) {
 	p := engines(10, 12)
 	s := overload(p, 10)
@@ -131,8 +131,8 @@
 	assert.Assert(t, atOnce >= 90, "%d chats got an engine at once", atOnce)
 }
 
-// Load: a queue of requests of many sessions at engines that are full.
-// Grounds: room comes at one engine at a time; read there anew, a session costs 57 ms more.
+// When engines are full, room comes up at one engine at a time. It must go to a queued request whose session the
+// engine has cached: reading the session elsewhere takes 57 ms more.
 func TestRoomGoesToARequestWhoseSessionIsKnownThere(t *testing.T) {
 	p := engines(1, 2)
 	granted(t, p, at(0), notes("r0", "known"))
@@ -151,15 +151,15 @@
 	assert.Equal(t, grants[0].ID, "same")
 }
 
-// Symptom: a request whose session no engine knows waits forever.
-// Sequence: requests of a known session keep coming and go first each time.
-// Cause: only what must be read decided; a request may be passed by those that came a second later at most.
+// A request whose session no engine has cached must not wait forever while requests of a cached session keep
+// coming. If only the uncached tokens decided, those would always go first. Requests that
+// arrive up to a second later may pass it.
 func TestMatchingPassesNobodyForLong(t *testing.T) {
 	p := engines(1, 1)
 	granted(t, p, at(0), notes("r", "known"))
 	p.RecordFirstEvent(at(50*time.Millisecond), "r", nil)
 
-	// Neither of them is late: such requests go behind others.
+	// Neither request is late: late requests go behind others.
 	unknown, late := notes("unknown", "s"), notes("late", "known")
 	unknown.Target, late.Target = 5*time.Second, 5*time.Second
 	_, _ = p.Acquire(at(0), "node", unknown)
@@ -170,9 +170,8 @@
 	assert.Equal(t, grants[0].ID, "unknown")
 }
 
-// Symptom: under overload every request is late, though the engines could serve half of them on time.
-// Sequence: more comes than is served; the queue grows until its head has waited for longer than its target.
-// Cause: strictly in turn, each request waited for all before it.
+// Under overload the queue grows until its first request has waited longer than its target. If requests were served
+// strictly in order of arrival, all would be late, although the engines could serve half of them in time.
 func TestFreshRequestsGoBeforeThoseThatAreLateAnyway(t *testing.T) {
 	p := engines(1, 1)
 	granted(t, p, at(0), notes("r", "s"))
@@ -186,9 +185,8 @@
 	assert.Equal(t, grants[0].ID, "fresh")
 }
 
-// Symptom: requests wait for seconds to be refused in the end.
-// Sequence: more are late than will be served soon.
-// Cause: only their own limit ended the waiting. They are told at once, the oldest first.
+// Late requests that won't be served soon must be refused at once, oldest first. If only their own time limit ended the
+// wait, they would wait for seconds only to be refused.
 func TestLateRequestsWithoutProspectAreRefusedAtOnce(t *testing.T) {
 	p := engines(1, 1)
 	granted(t, p, at(0), notes("r", "s"))
@@ -209,9 +207,8 @@
 	assert.Equal(t, p.QueueLength(), 1)
 }
 
-// Symptom: under overload requests wait for a second to be refused in the end, and are no better off than at once.
-// Sequence: more comes at once than is served until the target of its last one, and than may wait for calmer times.
-// Cause: each one was queued whatever its prospect. It is refused at once, with how long the queue takes.
+// A request that can't be served within its target must be refused at once with the time that the queue takes to drain,
+// unless few enough wait. If every request were queued, many would wait for a second under overload and then be refused.
 func TestRequestsWithoutProspectAreNotQueued(t *testing.T) {
 	p := engines(2, 8)
 
@@ -226,7 +223,7 @@
 		p.RecordFirstEvent(at(time.Second), fmt.Sprint("b", i), nil)
 	}
 
-	// Sixteen are served in a second: 14 in the 900 ms that a note may wait.
+	// Sixteen are served in a second: 14 in the 900 ms that a request may wait.
 	decisions := map[balancer.Decision]int{}
 
 	for i := range 40 {
@@ -237,20 +234,19 @@
 
 	assert.DeepEqual(t, decisions, map[balancer.Decision]int{balancer.Queued: 15, balancer.Refused: 25})
 
-	// What is more urgent passes them.
+	// A more urgent request goes before them.
 	_, decision := p.Acquire(at(1002*time.Millisecond), "node", chat("chat"))
 	assert.Equal(t, decision, balancer.Queued)
 }
 
-// Symptom: under overload the longest prompts are refused though shorter ones that came later are served.
-// Sequence: engines always have some work waiting; each time that there is room for a usual prompt, one takes it.
-// Cause: only an engine with nothing to read took a prompt that is longer than what may wait there.
+// A prompt longer than the backlog limit must not be passed by shorter ones forever. If only an engine without any
+// backlog accepted it, it would be refused under overload, as a shorter prompt takes the room each time.
 func TestLongPromptsAreNotPassedForever(t *testing.T) {
 	p := engines(1, 16)
 	small := balancer.Request{ID: "first", Priority: notesPriority, PromptTokens: 4000, TimeLimit: 6 * time.Second, Target: 800 * time.Millisecond}
 	granted(t, p, at(0), small)
 
-	// 36 ms wait at the engine, of 130 that may; this one takes 270.
+	// The backlog is 36 ms of the 130 ms limit; this prompt takes 270 ms.
 	long := balancer.Request{ID: "long", Priority: notesPriority, PromptTokens: 30_000, TimeLimit: 6 * time.Second, Target: 800 * time.Millisecond}
 	granted(t, p, at(time.Millisecond), long)
 
@@ -259,12 +255,11 @@
 	assert.Equal(t, decision, balancer.Queued)
 }
 
-// Symptom: of the longest prompts less than half as many are served as of all.
-// Sequence: more comes than is served for twenty seconds; one prompt in ten is three times as long as the others.
-// Cause: room went to the prompt that took the least time to read.
+// For 20 seconds, more requests arrive than can be served, and 1 prompt in 10 is three times as long as the others. If room
+// went to the prompt that is read fastest, less than half as many of the longest prompts would be served as of all.
 func TestLongPromptsGetRoomUnderOverload(t *testing.T) {
 	p := engines(4, 8)
-	s := &shop{pool: p, placed: map[string]bool{}, asked: map[string]time.Time{}}
+	s := &simulation{pool: p, placed: map[string]bool{}, asked: map[string]time.Time{}}
 	asked, served := map[bool]int{}, map[bool]int{}
 	kinds := map[string]bool{}
 
--- a/internal/gateway/balancer/pool.go
+++ b/internal/gateway/balancer/pool.go
@@ -10,59 +10,61 @@
 )
 
 const (
-	// longPromptFraction is the part of what may wait at an engine that a longer prompt counts for.
+	// longPromptFraction caps what a prompt counts against the backlog limit, as a fraction of that limit.
 	longPromptFraction = 0.7
-	// waitLossRatio is the part of the loss at a server with room that a busy one must stay under to be waited for.
+	// waitLossRatio is the ratio to the least loss at a server that isn't busy below which the loss at a busy
+	// server must be for the request to wait for it.
 	waitLossRatio = 0.7
-	// urgentReserveFraction is the part of an engine's places that less urgent requests leave free while urgent ones come, and
-	// reserveTime how long after the last of these. With an eighth, 92 of 100 chats get an engine at once while long
-	// answers would fill all places, with none 14; the long prompts that are read fall from 381 to 337. A quarter
-	// gives the other 8 chats and leaves 251 (the load of TestChatsGetAnEngineAtOnceUnderOverload).
+	// urgentReserveFraction is the fraction of an engine's slots that less urgent requests leave free, until
+	// urgentReserveDuration after the last urgent request. When long responses would fill all slots, 1/8 gives
+	// 92 of 100 chats an engine at once, compared to 14 without a reserve, and reduces the long prompts that
+	// are read from 381 to 337. A reserve of 1/4 gives the other 8 chats an engine at once too, but leaves 251
+	// long prompts (load of TestChatsGetAnEngineAtOnceUnderOverload).
 	urgentReserveFraction = 0.125
 	urgentReserveDuration = 5 * time.Second
-	// maxPlainQueue is how many calls may wait at a plain server in addition to its slots.
+	// maxPlainQueue is the number of calls that may wait at a plain server in addition to its slots.
 	maxPlainQueue = 8
-	// expiryGrace is how long after its limit a request whose end nobody told is still counted.
+	// expiryGrace is how long a request is still counted after its time limit if its end is not reported.
 	expiryGrace = time.Second
-	// expireInterval is the time between two looks for such requests.
+	// expireInterval is the interval between checks for expired requests.
 	expireInterval = 500 * time.Millisecond
-	// maxBacklogChunks is the prompt work in chunks that may wait at an engine: enough to keep it busy
-	// for several ways to the holder and back. Urgent requests may add to it.
+	// maxBacklogChunks is the prompt backlog allowed at an engine, in chunks: enough to keep it busy for
+	// several round trips to the holder. Urgent requests may exceed it up to maxUrgentBacklogChunks.
 	maxBacklogChunks       = 7.0
 	maxUrgentBacklogChunks = 14.0
-	// maxMemoryFraction is the part of an engine's memory that running requests may fill. An engine that runs
-	// out of it sets running requests back to where they began.
+	// maxMemoryFraction is the fraction of an engine's memory that running requests may fill. An engine that
+	// runs out of memory restarts running requests from the beginning.
 	maxMemoryFraction = 0.85
 )
 
-// Choice is the upstream that was chosen.
+// Choice is the upstream chosen for a request.
 type Choice struct {
 	Upstream string `json:"u"`
 	Address  string `json:"a"`
-	// Loss is the expected loss, Waiting the predicted time to the first event in milliseconds; both for the log.
+	// Loss is the expected loss, and ExpectedWaitMS the predicted time to the first event; both are for the log.
 	Loss           float64 `json:"l"`
 	ExpectedWaitMS float64 `json:"w"`
 }
 
-// Pool decides for the upstreams of one service. It is safe for concurrent use.
+// Pool chooses among the upstreams of one service. It is safe for concurrent use.
 type Pool struct {
 	mu      sync.Mutex
 	engine  Engine
 	servers []*server
-	// model learns how fast they are.
+	// model estimates the performance of the servers.
 	model *estimator.Estimator
-	// requests holds all running requests by id.
+	// requests holds all running requests by ID.
 	requests map[string]*runningRequest
-	// queue holds the requests that wait for room.
+	// queue holds the requests that wait for a server.
 	queue []*queued
-	// queuedIDs are the ids of the requests in queue, which was last sorted at sortedAt.
+	// queuedIDs indexes queue by request ID. The queue was last sorted at sortedAt.
 	queuedIDs map[string]*queued
 	sortedAt  time.Time
-	// demand is what the requests ask of the servers.
+	// demand measures the rate and duration of requests.
 	demand demand
-	// urgentAt is when a request of the most urgent class last got a server.
+	// urgentAt is when a request of the most urgent priority last got a server.
 	urgentAt time.Time
-	// expiredAt is when requests whose end nobody told were last looked for.
+	// expiredAt is when expired requests were last looked for.
 	expiredAt time.Time
 }
 
@@ -71,7 +73,7 @@
 	return &Pool{requests: make(map[string]*runningRequest), queuedIDs: make(map[string]*queued), model: estimator.New(0)}
 }
 
-// SetUpstreams takes in the upstreams that exist now. What is known of those that stay is kept.
+// SetUpstreams replaces the list of upstreams. The state of those that remain is kept.
 func (p *Pool) SetUpstreams(now time.Time, upstreams []Upstream, engine Engine) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -91,8 +93,8 @@
 
 	for _, upstream := range upstreams {
 		s, ok := former[upstream.ID]
-		// One that started again has an empty cache, runs nothing and may be as fast as any other. What is told of
-		// its requests from before goes to the server that they were sent to, which nobody asks any more.
+		// A restarted server has an empty cache, runs nothing and may have any speed. Later events of its earlier
+		// requests go to the former server value, which is no longer used.
 		if !ok || s.Born != upstream.Born {
 			s = newServer(upstream, engine, p.model, now)
 		}
@@ -102,13 +104,13 @@
 	}
 }
 
-// choose picks the server with the least expected loss and counts the request there; p.mu is held.
-// It returns false when no server has room for it.
+// choose assigns the request to the server with the least expected loss. It returns false if no server has
+// room for the request. The caller holds p.mu.
 func (p *Pool) choose(now time.Time, request Request) (Choice, bool) {
 	var (
 		best     *server
 		bestLoss = math.Inf(1)
-		// busyLoss is the least loss at a server that has room but enough prompts to read for now.
+		// busyLoss is the least loss among servers that have room but a full prompt backlog.
 		busyLoss = math.Inf(1)
 	)
 
@@ -127,8 +129,8 @@
 		}
 	}
 
-	// Rather than to an engine with chats, or to one that would read its session anew, the request waits for the
-	// other one, which is no later than if it waited there.
+	// Waiting for the busy server is better than sending the request to an engine that serves chats, or to one that
+	// would have to prefill its session again. It takes no longer than waiting at the busy server itself.
 	if best == nil || busyLoss < waitLossRatio*bestLoss {
 		return Choice{}, false
 	}
@@ -147,8 +149,8 @@
 	_ = p.beginAt(now, upstream, request)
 }
 
-// AddAnswering counts a request whose answer began before this pool heard of it, so that its first event says nothing of
-// the time that it took.
+// AddAnswering counts a request whose response began before this pool was told of it. Its first event
+// says nothing about the upstream's speed.
 func (p *Pool) AddAnswering(now time.Time, upstream string, request Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -163,10 +165,10 @@
 	r.prefilledAtFirst = r.server.sentTokens
 }
 
-// beginAt counts a request at a named upstream; nil if that isn't listed.
+// beginAt counts a request at the named upstream. It returns nil if the upstream is not listed.
 func (p *Pool) beginAt(now time.Time, upstream string, request Request) *runningRequest {
 	p.expire(now)
-	// It may wait here too: it asked this node before it got its upstream from another one.
+	// The request may be queued here too, if it asked this node before another node chose its upstream.
 	p.unqueue(request.ID)
 
 	for _, s := range p.servers {
@@ -208,7 +210,7 @@
 	return r
 }
 
-// RecordFirstEvent records that the first event of the request came, with the load that the server told; nil if none.
+// RecordFirstEvent records that the first event of the request arrived. The load is what the server reported, or nil.
 func (p *Pool) RecordFirstEvent(now time.Time, id string, load *Load) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -226,7 +228,7 @@
 	}
 }
 
-// MarkLeaving keeps new requests from an upstream, until it is listed with another start.
+// MarkLeaving stops new requests to an upstream until it is listed with another start.
 func (p *Pool) MarkLeaving(upstream string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -238,7 +240,7 @@
 	}
 }
 
-// RecordEnd records that the request left its upstream.
+// RecordEnd records that the request ended at its upstream or left the queue.
 func (p *Pool) RecordEnd(now time.Time, id string, outcome Outcome) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -262,8 +264,8 @@
 	r.server.remove(r, outcome, now, outcome == Failed && p.mayEject(now))
 }
 
-// expire drops requests that are over although nobody said so: the node that sent them is gone,
-// or its message was lost. They would take up slots for good.
+// expire removes requests whose time limit has passed without a report of their end: the node that sent them
+// stopped, or its message was lost. They would otherwise occupy slots forever.
 func (p *Pool) expire(now time.Time) {
 	if now.Sub(p.expiredAt) < expireInterval {
 		return
@@ -280,12 +282,13 @@
 	}
 }
 
-// usable says whether the server gets new requests at all.
+// usable reports whether the server may get new requests.
 func (s *server) usable(now time.Time) bool {
 	return !s.Draining && !s.leaving && !now.Before(s.ejectedUntil)
 }
 
-// mayEject says whether one more server may be left out for its failures. Where many fail, what they fail is no fault of one.
+// mayEject reports whether one more server may be ejected for its failures. Where many servers fail,
+// the failures are not the fault of one of them.
 func (p *Pool) mayEject(now time.Time) bool {
 	ejected := 0
 
@@ -298,32 +301,34 @@
 	return float64(ejected+1) <= maxEjectedFraction*float64(len(p.servers))
 }
 
-// accepts says whether the server may get the request now.
+// accepts reports whether the server may get the request now.
 func (p *Pool) accepts(now time.Time, s *server, request *Request) bool {
 	return p.hasRoom(now, s, request) && !p.isBusy(now, s, request)
 }
 
-// isBusy says whether as many prompts wait at the engine as it needs for the next moments.
+// isBusy reports whether the prompt backlog at the engine is full.
 func (p *Pool) isBusy(now time.Time, s *server, request *Request) bool {
 	if s.engine.CacheTokens == 0 || request.AcceptAny && p.meetsTarget(now, s, request) {
 		return false
 	}
 
-	backlog, most := s.backlogNow(now), maxBacklogTokens(request.Priority)
+	backlog, limit := s.backlogNow(now), maxBacklogTokens(request.Priority)
 
-	// A prompt longer than that would wait for an engine without any, and always be passed by shorter ones.
-	return backlog > 0 && backlog+min(s.prefillTokens(request), longPromptFraction*most) > most
+	// Without the cap, a prompt longer than the limit would need an engine without any backlog, and shorter
+	// prompts would always pass it.
+	return backlog > 0 && backlog+min(s.prefillTokens(request), longPromptFraction*limit) > limit
 }
 
-// meetsTarget says whether the server is expected to answer the request within its target. One that has waited for long
-// may go where more prompts wait than usual, but only for that: sent there late, it would make all that come after it
-// late too, and hold memory for prompts that others share until its caller leaves. Under an overload of 90 engines this
-// brings 15% more of what can be had; before, 47,000 prompt tokens waited at the median of the engines that were chosen.
+// meetsTarget reports whether the server is expected to answer the request within its target. A request that
+// has waited long may go to a server with a full backlog only if it meets its target there. Sent there late, it would delay
+// all later requests and hold memory for prompts that others share until its caller leaves. Under an overload
+// of 90 engines this rule serves 15% more of the attainable value; without it, the median backlog of the chosen
+// engines was 47,000 prompt tokens.
 func (p *Pool) meetsTarget(now time.Time, s *server, request *Request) bool {
 	return p.expectedMS(now, s, request) <= milliseconds(request.Target-request.Waited)
 }
 
-// hasRoom says whether the server has a place and memory for the request.
+// hasRoom reports whether the server has a slot and memory for the request.
 func (p *Pool) hasRoom(now time.Time, s *server, request *Request) bool {
 	if !s.usable(now) || slices.Contains(request.Excluded, s.ID) || s.onTrial() && len(s.running) > 0 {
 		return false
@@ -343,8 +348,8 @@
 	return float64(len(s.running))+foreign < float64(s.Slots)-p.reserve(now, s, request)
 }
 
-// reserve is the number of places at an engine that are kept from the work for more urgent requests. Where long answers
-// take all places, a chat waits for the end of one, which is longer than its whole target.
+// reserve returns the number of slots at an engine that the request must leave to more urgent ones. If long
+// responses take all slots, a chat waits for one of them to end, which takes longer than its whole target.
 func (p *Pool) reserve(now time.Time, s *server, request *Request) float64 {
 	if request.Priority <= 0 || now.Sub(p.urgentAt) > urgentReserveDuration {
 		return 0
@@ -353,8 +358,8 @@
 	return urgentReserveFraction * float64(s.Slots)
 }
 
-// maxBacklogTokens is the prompt work that may wait at an engine. What waits there is read in
-// the order in which it came; what waits in the pool goes by rank, and stalls no stream meanwhile.
+// maxBacklogTokens returns the prompt backlog allowed at an engine. An engine reads its backlog in order of
+// arrival. Requests in the pool's queue are ordered by rank and delay no stream while they wait.
 func maxBacklogTokens(priority int) float64 {
 	if priority <= 0 {
 		return maxUrgentBacklogChunks * chunkTokens
--- a/internal/gateway/balancer/pool_test.go
+++ b/internal/gateway/balancer/pool_test.go
@@ -20,7 +20,7 @@
 
 func at(d time.Duration) time.Time { return start.Add(d) }
 
-// engines returns a pool of engines named a, b, c.
+// engines returns a pool of engines named a, b, c and so on.
 func engines(count, slots int) *balancer.Pool {
 	return newPool(count, slots, balancer.Engine{CacheTokens: 300_000, EventTokens: 3})
 }
@@ -62,8 +62,8 @@
 	return choice.Upstream
 }
 
-// serveAll asks for all of the work at once and returns where each request went. Engines have read the prompts that
-// they got 90 ms later; those that wait get room then.
+// serveAll asks for the whole burst at once and returns the upstream of each request. Engines send the first events
+// 90 ms later, and queued requests get room then.
 func serveAll(t *testing.T, p *balancer.Pool, now time.Time, burst []balancer.Request) map[string]string {
 	t.Helper()
 
@@ -97,9 +97,8 @@
 	return placed
 }
 
-// Symptom: an idle engine is left alone for 12 s while others have queues.
-// Sequence: one request is lost at it (its connection went silent); the others are answered.
-// Cause: the age of the oldest unanswered request was held against the whole engine.
+// One request is lost at an engine because its connection went silent; the others are answered. If the age of the oldest
+// unanswered request counted against the whole engine, it would stay idle for 12 s while others have queues.
 func TestOneLostRequestDoesNotCondemnItsServer(t *testing.T) {
 	p := engines(2, 48)
 	lost := granted(t, p, at(0), notes("lost", "s0"))
@@ -128,9 +127,8 @@
 	assert.Assert(t, used >= 3, "%d of 10 requests went to the engine that lost one", used)
 }
 
-// Symptom: a server that crashed without a word gets request after request.
-// Sequence: it takes connections and answers nothing.
-// Cause: load counted what was sent, not that no answer came.
+// A crashed server that accepts connections but answers nothing must get no further requests. Its load
+// alone doesn't show that no answer came.
 func TestSilentServerIsLeftOutBeforeAnyRequestFails(t *testing.T) {
 	p := engines(2, 48)
 	silent := granted(t, p, at(0), chat("first"))
@@ -143,7 +141,7 @@
 		p.RecordEnd(now.Add(6*time.Millisecond), id, balancer.Served)
 	}
 
-	// It gets a trial request later on, else nobody would learn that it is back.
+	// It gets a trial request later; otherwise nothing would show that it works again.
 	tried := false
 	for i := range 30 {
 		id := fmt.Sprint("t", i)
@@ -153,9 +151,8 @@
 	assert.Assert(t, tried)
 }
 
-// Symptom: an engine is thought to be thirty times as slow as it is.
-// Sequence: one request was stuck for a second where 30 ms were expected.
-// Cause: speeds were averaged as they are, so one outlier outweighed a hundred others.
+// One request is stuck for a second where 30 ms were expected. If the ratios were averaged without the logarithm, one
+// outlier would outweigh a hundred others, and the engine would appear thirty times as slow as it is.
 func TestOneStuckRequestHardlyChangesTheSpeed(t *testing.T) {
 	p := engines(1, 48)
 
@@ -175,8 +172,8 @@
 	assert.Assert(t, after.ExpectedWaitMS < 2*before.ExpectedWaitMS, "%.0f ms before, %.0f ms after", before.ExpectedWaitMS, after.ExpectedWaitMS)
 }
 
-// Load: a burst of long prompts beside short chats, as at the close of a shop's day.
-// Grounds: a prompt of 9,000 tokens takes 82 ms to read; five of them stall a chat over its limit of 120 ms.
+// A burst of long prompts arrives while short chats run. A prompt of 9,000 tokens takes 82 ms to read; five
+// of them stall a chat beyond its gap limit of 120 ms.
 func TestLongPromptsKeepAwayFromChats(t *testing.T) {
 	p := engines(4, 48)
 	chats := map[string]int{}
@@ -202,8 +199,7 @@
 	assert.Assert(t, beside <= 1, "%d of 6 long prompts beside chats", beside)
 }
 
-// Load: requests of one session come one after the other.
-// Grounds: 6,300 of 9,000 tokens are shared; read again they cost 57 ms of an engine.
+// Requests of a session share 6,300 of 9,000 tokens. Reading these again costs 57 ms of an engine's time.
 func TestRequestsOfASessionShareAnEngine(t *testing.T) {
 	p := engines(6, 48)
 	first := granted(t, p, at(0), notes("n0", "session"))
@@ -219,9 +215,8 @@
 	}
 }
 
-// Symptom: engines set urgent running requests back while less urgent ones run on.
-// Sequence: more requests are sent than the batch holds; a waiting urgent one takes a place.
-// Cause: requests waited at full engines. They wait in the pool's queue now, the urgent ones first.
+// Requests must wait in the pool's queue, the urgent ones first, and not at full engines. If more requests were sent
+// than the batch holds, engines would preempt urgent requests while less urgent ones run on.
 func TestRequestsWaitInThePoolByRank(t *testing.T) {
 	p := engines(1, 2)
 	granted(t, p, at(0), notes("r0", "s"))
@@ -239,15 +234,13 @@
 	assert.Equal(t, len(grants), 1)
 	assert.Equal(t, grants[0].ID, "high")
 
-	// Its owner may ask again, when the grant was lost on the way.
+	// The owner may ask again if the grant was lost.
 	choice, decision := p.Acquire(at(20*time.Millisecond), "node", chat("high"))
 	assert.Equal(t, decision, balancer.Granted)
 	assert.Equal(t, choice.Upstream, "a")
 }
 
-// Symptom: long reviews wait forever while chats come.
-// Sequence: the engine is always full and a chat always waits.
-// Cause: rank alone decided; waiting counts now.
+// A less urgent request must not wait forever at a full engine while chats keep coming. Waiting improves its rank.
 func TestOldRequestsMoveUp(t *testing.T) {
 	p := engines(1, 1)
 	granted(t, p, at(0), chat("r"))
@@ -259,9 +252,8 @@
 	assert.Equal(t, grants[0].ID, "old")
 }
 
-// Symptom: slots of an engine stay taken for good.
-// Sequence: a node is killed with requests in flight and tells no end.
-// Cause: only a told end freed a slot.
+// A node is killed with requests in flight and reports no end. If only a report freed a slot, these slots would
+// stay occupied forever.
 func TestRequestsOfALostNodeExpire(t *testing.T) {
 	p := engines(1, 1)
 	granted(t, p, at(0), notes("lost", "s"))
@@ -271,9 +263,8 @@
 	assert.Equal(t, len(p.GrantQueued(at(8*time.Second))), 1)
 }
 
-// Symptom: engines are overrun while some nodes are cut off from the holder.
-// Sequence: those nodes send by themselves; the engine tells 2 running where the holder knows of 1.
-// Cause: only own requests counted.
+// Nodes that can't reach the holder choose by themselves, and the engine reports more requests than the
+// holder knows of. If the holder counted only its own requests, it would overload the engine.
 func TestForeignRequestsCount(t *testing.T) {
 	p := engines(1, 3)
 	granted(t, p, at(0), notes("r0", "s"))
@@ -298,9 +289,8 @@
 	assert.Equal(t, decision, balancer.Refused)
 }
 
-// Symptom: under overload thousands of requests fail at servers that crashed.
-// Sequence: a server takes no connections; its slots are empty; all others are full.
-// Cause: being unreachable only added to the loss, and empty slots drew all that waited.
+// A server accepts no connections while all others are full. If being unreachable only increased the loss, its empty
+// slots would attract all queued requests, and thousands would fail under overload.
 func TestUnreachableServerGetsNothingForAWhile(t *testing.T) {
 	p := newPool(2, 6, balancer.Engine{})
 	call := func(id string) balancer.Request {
@@ -326,10 +316,9 @@
 	assert.Assert(t, len(p.GrantQueued(at(400*time.Millisecond))) > 0)
 }
 
-// Symptom: after a crash of a quarter of the engines each request is refused up to four times by
-// engines that had started again, and the retry budget is spent.
-// Sequence: an engine starts again with another id; the old id is listed for seconds more; all others are full.
-// Cause: its refusals only added to the loss, and its empty slots drew all that waited.
+// After a crash of a quarter of the engines, they restart with new IDs, and the old IDs stay listed for seconds. If
+// rejections only increased the loss, the empty slots of the old IDs would attract all queued requests while the other
+// engines are full: each request would be rejected up to four times, and the retry budget would be spent.
 func TestReplacedServerGetsNothingUntilItMayBeListedNoMore(t *testing.T) {
 	p := newPool(2, 2, balancer.Engine{})
 	replaced := granted(t, p, at(0), balancer.Request{ID: "first", TimeLimit: 5 * time.Second})
@@ -341,10 +330,9 @@
 	}
 }
 
-// Symptom: a server that started again gets the requests of sessions that it has to read anew, and is avoided as full.
-// Sequence: a server runs two requests, starts again under its id, and its entry tells the new start; then the
-// answers of its first life come late.
-// Cause: what was known of the id was kept: its cache, its running requests, its failures.
+// A server restarts under its ID, its entry shows the new start, and then the responses of its earlier requests arrive late.
+// If the pool kept its state (cache, running requests, failures), the server would get requests of sessions that it has to
+// read again, and would be avoided as full.
 func TestServerThatStartedAgainIsUnknown(t *testing.T) {
 	engine := balancer.Engine{CacheTokens: 300_000, EventTokens: 3}
 	first := balancer.Upstream{ID: "a", Slots: 2, Born: 1000}
@@ -368,6 +356,6 @@
 
 	choice, decision := p.Acquire(at(1300*time.Millisecond), "node", notes("r3", "s"))
 	assert.Equal(t, decision, balancer.Granted)
-	// All of the prompt must be read: 9,000 tokens and more.
+	// The whole prompt must be read: at least 9,000 tokens.
 	assert.Assert(t, choice.ExpectedWaitMS > 80, "%.0f ms", choice.ExpectedWaitMS)
 }
--- a/internal/gateway/balancer/queue.go
+++ b/internal/gateway/balancer/queue.go
@@ -7,61 +7,61 @@
 )
 
 const (
-	// agingTime is the waiting time that makes up for one rank, so that no class waits forever.
+	// agingTime is the waiting time that offsets one rank, so that no class waits forever.
 	agingTime = 1500 * time.Millisecond
-	// maxQueue bounds the requests that wait for one pool.
+	// maxQueue limits the number of requests in the queue of a pool.
 	maxQueue = 2000
-	// lateAfterFraction is the part of its target that a request can wait and still meet it: the rest is for the
-	// engine's backlog, its prompt and the first event. lateRank is what it loses in rank after that.
+	// lateAfterFraction is the fraction of its target that a request can wait and still meet it: the rest is for
+	// the engine's backlog, the prompt and the first event. After that, lateRankPenalty is added to its rank.
 	lateAfterFraction = 0.55
 	lateRankPenalty   = 1.5
-	// organisationRankWeight is what each place in the order of organisations counts beside a priority; all places together
-	// stay within one, so that no organisation goes before a more urgent class.
+	// organisationRankWeight is the weight of an organisation's rank relative to the priority. The sum is capped at
+	// maxOrganisationRank, below 1, so that no organisation goes before a more urgent class.
 	organisationRankWeight = 0.3
 	maxOrganisationRank    = 0.9
-	// sortInterval is the longest time for which the order of a queue without room is left as it is.
+	// sortInterval is the longest time between sorts of the queue while no server has room.
 	sortInterval = 20 * time.Millisecond
-	// resortInterval is the same while there is room.
+	// resortInterval is the minimum time between sorts while a server has room.
 	resortInterval = 4 * time.Millisecond
 )
 
-// Decision is what became of a request that asked for an upstream.
+// Decision is the result of Acquire.
 type Decision int
 
 const (
-	// Granted requests have an upstream.
+	// Granted means that the request has an upstream.
 	Granted Decision = iota
-	// Queued requests wait for one.
+	// Queued means that the request waits for an upstream.
 	Queued
-	// Refused requests can't get one.
+	// Refused means that the request gets no upstream.
 	Refused
 )
 
-// Grant is an upstream for a request that had waited.
+// Grant assigns an upstream to a queued request, or refuses it.
 type Grant struct {
 	ID string
-	// Owner is whoever asked.
+	// Owner is the node that asked.
 	Owner  string
 	Choice Choice
-	// Refused says that there is no upstream: the request has no prospect to be served in time.
+	// Refused is set if the request can't be served in time; Choice is empty.
 	Refused bool
 }
 
 // queued is a request that waits until a server has room for it.
 type queued struct {
-	request Request
-	owner   string
-	since   time.Time
-	// until is when it is refused, deadline when its time is over if it gets room before.
-	until, deadline time.Time
-	// sortRank is the rank as of the last sorting.
+	request  Request
+	owner    string
+	queuedAt time.Time
+	// refuseAt is when the request is refused if it is still queued. deadline is when its time limit ends.
+	refuseAt, deadline time.Time
+	// sortRank is the rank at the time of the last sort.
 	sortRank float64
 }
 
-// rank orders the queue: lower goes first. One that will be late in any case goes behind those that won't:
-// strictly in turn, all would be late as soon as the queue is as long as their target.
+// rank orders the queue, lowest first. A request that will miss its target in any case goes behind those that
+// won't: in strict order of arrival, all would be late as soon as the queue is as long as their target.
 func (q *queued) rank(now time.Time) float64 {
-	rank := baseRank(&q.request) - now.Sub(q.since).Seconds()/agingTime.Seconds()
+	rank := baseRank(&q.request) - now.Sub(q.queuedAt).Seconds()/agingTime.Seconds()
 	if q.late(now) {
 		rank += lateRankPenalty
 	}
@@ -69,18 +69,18 @@
 	return rank
 }
 
-// baseRank is the rank of a request that has not waited.
+// baseRank returns the rank of a request that has not waited.
 func baseRank(request *Request) float64 {
 	return float64(request.Priority) + min(organisationRankWeight*float64(request.OrganisationRank), maxOrganisationRank)
 }
 
-// late says that the request has waited too long to meet its target.
+// late reports whether the request has waited too long to meet its target.
 func (q *queued) late(now time.Time) bool {
-	return q.request.Target > 0 && now.Sub(q.since) > time.Duration(lateAfterFraction*float64(q.request.Target))
+	return q.request.Target > 0 && now.Sub(q.queuedAt) > time.Duration(lateAfterFraction*float64(q.request.Target))
 }
 
-// Acquire picks an upstream for the work, or queues it where none has room now. Asked again for a request
-// that has an upstream or waits already, it says the same again: its answer may have been lost.
+// Acquire chooses an upstream for the request, or queues the request if no server has room. It is idempotent: for a request
+// that has an upstream or is queued it returns the same decision again, as the first reply may have been lost.
 func (p *Pool) Acquire(now time.Time, owner string, request Request) (Choice, Decision) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -109,7 +109,7 @@
 		return Choice{ExpectedWaitMS: milliseconds(wait)}, Refused
 	}
 
-	q := &queued{request: request, owner: owner, since: now, until: now.Add(patience(&request)), deadline: now.Add(request.TimeLimit)}
+	q := &queued{request: request, owner: owner, queuedAt: now, refuseAt: now.Add(patience(&request)), deadline: now.Add(request.TimeLimit)}
 	q.sortRank = q.rank(now)
 	p.queue = append(p.queue, q)
 	p.queuedIDs[request.ID] = q
@@ -117,7 +117,7 @@
 	return Choice{}, Queued
 }
 
-// GrantQueued returns the waiting requests for which there is room now, and those that are refused.
+// GrantQueued returns the queued requests that get a server now, and those that are refused.
 func (p *Pool) GrantQueued(now time.Time) []Grant {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -128,7 +128,7 @@
 
 	p.expire(now)
 
-	// Most calls find no room; sorting the queue each time would take up the holder's processor.
+	// Most calls find no server with room; sorting the queue each time would use too much of the holder's CPU.
 	hasRoom := len(p.openServers(now)) > 0
 	if !hasRoom && now.Sub(p.sortedAt) < sortInterval {
 		return nil
@@ -141,7 +141,7 @@
 		grants = p.shed(now)
 	}
 
-	// declined are the requests that wait for a better server than those that have room.
+	// declined holds the requests that wait for a better server than those with room.
 	declined := make(map[*queued]bool)
 
 	for len(declined) < maxDeclined {
@@ -164,7 +164,7 @@
 	return grants
 }
 
-// sort puts the queue in order of rank.
+// sort sorts the queue by rank.
 func (p *Pool) sort(now time.Time) {
 	p.sortedAt = now
 
@@ -175,7 +175,7 @@
 	slices.SortStableFunc(p.queue, func(a, b *queued) int { return cmp.Compare(a.sortRank, b.sortRank) })
 }
 
-// QueueLength is the number of requests in the queue.
+// QueueLength returns the number of requests in the queue.
 func (p *Pool) QueueLength() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -183,7 +183,7 @@
 	return len(p.queue)
 }
 
-// unqueue drops a request from the queue; p.mu is held.
+// unqueue removes a request from the queue. The caller holds p.mu.
 func (p *Pool) unqueue(id string) {
 	q, ok := p.queuedIDs[id]
 	if !ok {
--- a/internal/gateway/balancer/report.go
+++ b/internal/gateway/balancer/report.go
@@ -6,24 +6,24 @@
 	"quincepath.example/quincepath/internal/gateway/estimator"
 )
 
-// ServerReport tells what a pool believes of one server.
+// ServerReport is the state of one server as the pool sees it.
 type ServerReport struct {
 	ID      string `json:"id"`
 	Running int    `json:"running"`
-	// Foreign is the number of requests there that other nodes sent by themselves.
+	// Foreign is the number of requests at the server that other nodes sent without this pool.
 	Foreign float64 `json:"foreign"`
-	// BacklogTokens is the prompt work that has no first event yet.
+	// BacklogTokens is the number of prompt tokens of requests without a first event.
 	BacklogTokens float64 `json:"backlog_tokens"`
 	// Slowdown is the learned ratio of real to expected times.
 	Slowdown float64 `json:"speed"`
-	// Failures is the recent share of failed requests.
+	// Failures is the recent fraction of failed requests.
 	Failures float64 `json:"failures"`
-	// OverdueMS is how much longer than expected it has answered nothing.
+	// OverdueMS is how much longer than expected the server has answered nothing.
 	OverdueMS float64 `json:"overdue_ms"`
 	Draining  bool    `json:"draining,omitempty"`
 }
 
-// Estimates returns what the pool has learned of how fast its servers work.
+// Estimates returns the estimated performance of the pool's servers.
 func (p *Pool) Estimates() estimator.Estimates {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -31,7 +31,7 @@
 	return p.model.Estimates()
 }
 
-// Report returns what the pool believes of its servers.
+// Report returns the state of the pool's servers.
 func (p *Pool) Report(now time.Time) []ServerReport {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/gateway/balancer/running_request.go
+++ b/internal/gateway/balancer/running_request.go
@@ -2,32 +2,32 @@
 
 import "time"
 
-// runningRequest is one request at a server.
+// runningRequest is a request that was sent to a server.
 type runningRequest struct {
 	request Request
-	// server is where it runs.
+	// server is where the request runs.
 	server *server
 	sentAt time.Time
-	// expiresAt is when the request is over even if nobody says so: its node may be gone.
+	// expiresAt is when the request ends even if that is not reported, as its node may have stopped.
 	expiresAt time.Time
-	// prefillTokens is the prompt work that the server still had to do for it, in tokens.
+	// prefillTokens is the number of prompt tokens that the server had to read for the request.
 	prefillTokens float64
-	// backlogAhead is the prompt work that waited at the server when it came.
+	// backlogAhead is the prompt backlog at the server when the request was sent, in tokens.
 	backlogAhead float64
-	// prefilledAtFirst is the prompt work that the server had read when the first event came, of all that it was given.
+	// prefilledAtFirst is the number of all sent prompt tokens that the server had read when the first event arrived.
 	prefilledAtFirst float64
-	// expectedMS is the predicted time to the first event in milliseconds, at the speed of that moment.
+	// expectedMS is the predicted time to the first event, at the slowdown of that moment.
 	expectedMS float64
 	slowdown   float64
-	// overtaken counts requests of no higher rank that were sent later and answered before.
+	// overtaken counts later requests of the same or a less urgent priority that were answered first.
 	overtaken int
-	// answering says that the first event came.
+	// answering is set once the first event arrived.
 	answering bool
-	// sensitivity is how much its stream suffers from prompts read beside it, 0 to 1.
+	// sensitivity is how much prefill on the same engine disturbs the stream, from 0 to 1.
 	sensitivity float64
 }
 
-// overdueMS is how much longer than expected the request has waited for its first event, in milliseconds; negative before.
+// overdueMS returns how much longer than expected the request has waited for its first event; negative if it is in time.
 func (r *runningRequest) overdueMS(now time.Time) float64 {
 	return milliseconds(now.Sub(r.sentAt)) - overdueFactor*r.expectedMS - overdueSlackMS
 }
--- a/internal/gateway/balancer/server.go
+++ b/internal/gateway/balancer/server.go
@@ -10,80 +10,80 @@
 )
 
 const (
-	// slowdownGain is the weight of one observation in a server's learned speed.
+	// slowdownGain is the weight of one observation in a server's learned slowdown.
 	slowdownGain = 0.15
 	minSlowdown  = 0.7
 	maxSlowdown  = 12.0
-	// overdueFactor and overdueSlack, in milliseconds, are what a server may take longer than expected.
+	// overdueFactor and overdueSlackMS are the tolerance for a late first event, relative to the expected time and absolute.
 	overdueFactor  = 2.0
 	overdueSlackMS = 20.0
-	// maxOverdueMS bounds the time in milliseconds for which a silent server is held against others.
+	// maxOverdueMS limits the delay that is held against a silent server.
 	maxOverdueMS = 2000.0
-	// trialInterval is the time after which a silent server is sent one request again.
+	// trialInterval is the time after which a silent server gets one request again.
 	trialInterval = 700 * time.Millisecond
-	// slowdownHalfLife is the time in which a learned slowness halves without new observations, so that a
-	// server that was avoided as slow gets another chance.
+	// slowdownHalfLife is the half-life of a learned slowdown without new observations, so that a
+	// server that was avoided as slow gets requests again.
 	slowdownHalfLife = 4 * time.Second
-	// recentHalfLife is the time constant with which finished long work is forgotten.
+	// recentHalfLife is the half-life of the recently sent prompt work.
 	recentHalfLife = 1500 * time.Millisecond
-	// foreignHalfLife is the time in which the count of foreign requests halves without news.
+	// foreignHalfLife is the half-life of the count of foreign requests without new reports.
 	foreignHalfLife = 500 * time.Millisecond
 	// meanTokensGain is the weight of one request in the mean memory of requests.
 	meanTokensGain = 0.05
-	// cacheFraction is the part of an engine's memory that holds prompt parts while requests run.
+	// cacheFraction is the fraction of an engine's memory that holds cached prompt parts while requests run.
 	cacheFraction = 0.8
-	// chunkTokens is the number of prompt tokens that an engine reads between two steps unless it is set otherwise.
+	// chunkTokens is the default number of prompt tokens that an engine reads between two decode steps.
 	chunkTokens = 2048
-	// shortPromptChunks is the prompt work in chunks that no stream beside it notices.
+	// shortPromptChunks is the prompt length in chunks that doesn't disturb streams on the same engine.
 	shortPromptChunks = 0.8
 	// lostAfterOvertaken is the number of later requests that must be answered before an earlier one counts as lost.
 	lostAfterOvertaken = 3
-	// maxCachedParts bounds the remembered parts of one server; with parts of 250 tokens it passes all caches.
+	// maxCachedParts limits the prompt parts tracked for one server. With parts of 250 tokens it exceeds any cache.
 	maxCachedParts = 4096
 )
 
-// server is what the pool knows of one upstream.
+// server is the state of one upstream.
 type server struct {
 	Upstream
 	engine Engine
-	// model holds how fast the pool's servers are.
+	// model estimates the performance of the pool's servers.
 	model *estimator.Estimator
-	// leaving says that it told a node so in an answer; the list may not say it yet.
+	// leaving is set when the server announced in a response that it is leaving. The list of upstreams may not show it yet.
 	leaving bool
-	// running holds the requests that were sent there and have not ended.
+	// running holds the requests that were sent to the server and have not ended.
 	running map[string]*runningRequest
-	// tokens is the memory that they may come to take up; a part that several of them share counts once.
+	// tokens is the most memory that they may need. A part that several of them share counts once.
 	tokens int
-	// partUsers counts the running requests that have a part in their prompts.
+	// partUsers counts the running requests by the parts of their prompts.
 	partUsers map[string]int
-	// backlog is the prompt work in tokens of those that have no first event.
+	// backlog is the number of prompt tokens of the requests without a first event.
 	backlog float64
-	// sensitiveStreams sums the values of running streams by gap limit.
+	// sensitiveStreams is the total weight of running streams that prefill disturbs, by gap limit.
 	sensitiveStreams map[time.Duration]float64
-	// cachedParts holds what its cache has, the least recently used first.
+	// cachedParts holds the prompt parts in the server's cache, least recently used first.
 	cachedParts  *simplelru.LRU[string, int]
 	cachedTokens int
 	// sentAt is when a request was last sent, answeredAt when one was last answered.
 	sentAt, answeredAt time.Time
-	// slowdown is the learned ratio of real to predicted time, as of speedAt.
+	// slowdown is the learned ratio of real to predicted time, as of slowdownAt.
 	slowdown   float64
 	slowdownAt time.Time
-	// failures is the recent share of failed requests, as of failedAt.
+	// failures is the recent fraction of failed requests, as of failedAt.
 	failures float64
 	failedAt time.Time
-	// ejectedUntil is until when it is left out.
+	// ejectedUntil is when the ejection ends.
 	ejectedUntil time.Time
-	// lastEjection is how long it was left out last; 0 after a sound answer.
+	// lastEjection is the duration of the last ejection; 0 after a successful response.
 	lastEjection time.Duration
-	// foreign is the number of requests there that this pool doesn't know, as of foreignAt. Nodes that are
-	// cut off from the holder send by themselves.
+	// foreign is the number of requests at the server that this pool doesn't know of, as of foreignAt: nodes
+	// that can't reach the holder choose by themselves.
 	foreign   float64
 	foreignAt time.Time
 	// meanTokens is the mean memory of one request.
 	meanTokens float64
-	// sentTokens is all prompt work that was ever sent there, in tokens.
+	// sentTokens is the number of prompt tokens ever sent to the server.
 	sentTokens float64
-	// recentTokens is the prompt work sent there lately, in tokens, as of recentAt.
+	// recentTokens counts the recently sent prompt tokens in excess of shortPromptChunks each, as of recentAt.
 	recentTokens float64
 	recentAt     time.Time
 }
@@ -109,7 +109,7 @@
 }
 
 func decayed(value float64, since, halfLife time.Duration) float64 {
-	// Most counts are 0, and holders ask for them thousands of times a second.
+	// Most values are 0, and holders call this thousands of times a second.
 	if value == 0 {
 		return 0
 	}
@@ -117,7 +117,7 @@
 	return value * math.Exp2(-since.Seconds()/halfLife.Seconds())
 }
 
-// slowdownNow is the learned speed, drawn towards 1 while nothing is observed.
+// slowdownNow returns the learned slowdown, which decays towards 1 without observations.
 func (s *server) slowdownNow(now time.Time) float64 {
 	if s.slowdown <= 1 {
 		return s.slowdown
@@ -134,7 +134,7 @@
 	return decayed(s.foreign, now.Sub(s.foreignAt), foreignHalfLife)
 }
 
-// recordLoad takes in the load that the server told of itself in an answer.
+// recordLoad updates the count of foreign requests from the load that the server reported.
 func (s *server) recordLoad(now time.Time, load Load) {
 	s.foreign = max(float64(load.Running+load.Waiting-len(s.running)), 0)
 	s.foreignAt = now
@@ -144,8 +144,8 @@
 	return decayed(s.recentTokens, now.Sub(s.recentAt), recentHalfLife)
 }
 
-// uncachedTokens is what the server would have to read of the prompt: a part is
-// found in its cache only if all parts before it are.
+// uncachedTokens returns the number of prompt tokens that the server would have to read. A cached part can
+// be used only if all parts before it are cached.
 func (s *server) uncachedTokens(request *Request) int {
 	missing := request.PromptTokens
 
@@ -160,7 +160,7 @@
 	return max(missing, 1)
 }
 
-// prefillTokens is the number of prompt tokens that the server must read for the work; a call of a plain service counts as one.
+// prefillTokens returns the number of prompt tokens that the server must read for the request. A call of a plain service counts as 1.
 func (s *server) prefillTokens(request *Request) float64 {
 	if s.engine.CacheTokens == 0 {
 		return 1
@@ -169,16 +169,16 @@
 	return float64(s.uncachedTokens(request))
 }
 
-// prefillMS is the time in milliseconds for so much work at a server of the usual speed.
-func (s *server) prefillMS(reading float64) float64 {
+// prefillMS returns the time to read the tokens at a server without slowdown.
+func (s *server) prefillMS(tokens float64) float64 {
 	if s.engine.CacheTokens == 0 {
-		return reading * s.model.Estimates().PlainCallMS
+		return tokens * s.model.Estimates().PlainCallMS
 	}
 
-	return reading / s.model.Estimates().PrefillTokensPerMS
+	return tokens / s.model.Estimates().PrefillTokensPerMS
 }
 
-// addToCache notes that the server's cache gets the parts of a prompt.
+// addToCache records that the server caches the parts of a prompt.
 func (s *server) addToCache(request *Request) {
 	for _, part := range request.PromptParts {
 		if !s.cachedParts.Contains(part.ID) {
@@ -194,12 +194,12 @@
 	}
 }
 
-// trialDue says that the server was left alone for so long that it may be judged anew.
+// trialDue reports whether the server has had no request for so long that it may be tried again.
 func (s *server) trialDue(now time.Time) bool {
 	return now.Sub(s.sentAt) > trialInterval
 }
 
-// backlogNow is the prompt work that goes before a new request.
+// backlogNow returns the prompt backlog that a new request would wait for.
 func (s *server) backlogNow(now time.Time) float64 {
 	if s.trialDue(now) {
 		return 0
@@ -208,11 +208,11 @@
 	return s.backlog
 }
 
-// overdueMS is how much longer than expected the server has answered nothing, in milliseconds. It
-// shows a server that went silent before any of its requests fails.
+// overdueMS returns how much longer than expected the server has answered nothing. It detects a silent server
+// before any of its requests fails.
 //
-// A single lost request says nothing: the server may have answered others since. A server that is
-// left alone for it would never show that it lives, so now and then one request is sent as to any other.
+// A single lost request is no evidence: the server may have answered others since. A server without requests
+// could never show that it works again, so after trialInterval it gets a request like any other server.
 func (s *server) overdueMS(now time.Time) float64 {
 	if s.trialDue(now) {
 		return 0
@@ -221,7 +221,7 @@
 	worst := 0.0
 
 	for _, r := range s.running {
-		// One that was sent before the last answer may be lost alone.
+		// A request that was sent before the last answer may be lost alone.
 		if r.answering || r.sentAt.Before(s.answeredAt) {
 			continue
 		}
@@ -232,8 +232,9 @@
 	return min(worst, maxOverdueMS)
 }
 
-// additionalTokens is the memory in tokens that the work takes up in addition to that of the running requests. Counted whole for each
-// request, prompts that share four fifths filled an engine that could hold three times as many, and went where they had to be read anew.
+// additionalTokens returns the memory that the request needs in addition to the running ones. Counted in full
+// for each request, prompts that share 4/5 filled an engine with room for three times as many, and went to
+// engines that had to read them again.
 func (s *server) additionalTokens(request *Request) int {
 	tokens := request.tokens()
 
@@ -271,7 +272,7 @@
 	}
 }
 
-// dropBacklog takes a request's prompt out of what waits to be read.
+// dropBacklog removes a request's prompt from the backlog.
 func (s *server) dropBacklog(r *runningRequest) {
 	s.backlog = max(0, s.backlog-r.prefillTokens)
 }
@@ -289,8 +290,8 @@
 	s.markOvertaken(r, now)
 }
 
-// markOvertaken takes requests for lost that several later ones went before, or one when they are overdue: their prompts
-// aren't waiting to be read.
+// markOvertaken treats a request as lost after several later ones were answered before it, or after one if it
+// is overdue. The prompt of a lost request is not in the backlog.
 func (s *server) markOvertaken(answered *runningRequest, now time.Time) {
 	for _, r := range s.running {
 		if r.answering || !r.sentAt.Before(answered.sentAt) || r.request.Priority > answered.request.Priority {
@@ -306,8 +307,8 @@
 	}
 }
 
-// observeSlowdown takes in one ratio of real to predicted time. It is averaged by its logarithm, so that one
-// request that was stuck doesn't make its server look thirty times as slow.
+// observeSlowdown takes one ratio of real to predicted time. Ratios are averaged by their logarithm, so that one
+// stuck request doesn't make its server look thirty times as slow.
 func (s *server) observeSlowdown(now time.Time, ratio float64) {
 	ratio = min(max(ratio, minSlowdown), maxSlowdown)
 	average := (1-slowdownGain)*math.Log(s.slowdownNow(now)) + slowdownGain*math.Log(ratio)
@@ -325,7 +326,7 @@
 		}
 	}
 
-	// What no other request holds is free again.
+	// Frees the parts that no other request uses.
 	s.tokens -= s.additionalTokens(&r.request)
 
 	if !r.answering {
@@ -337,7 +338,7 @@
 	}
 
 	if len(s.running) == 0 {
-		// Sums of fractions drift; an empty server has none.
+		// Sums of fractions accumulate rounding errors; an idle server has none.
 		s.tokens = 0
 		s.backlog = 0
 		clear(s.sensitiveStreams)
--- a/internal/gateway/balancer/types.go
+++ b/internal/gateway/balancer/types.go
@@ -1,61 +1,61 @@
-// Package balancer chooses the upstream of a request by what each choice is
-// expected to lose.
+// Package balancer chooses the upstream of a request by the expected loss of each choice.
 //
-// The loss of a choice is the chance that the request misses its target there,
-// plus the chance that streams already running there stall over their gap limit,
-// plus a price for the work itself. Work is counted in milliseconds of prompt
-// reading, since requests differ a hundredfold in it and counting requests sends
-// short ones behind long ones. Prompt parts that the upstream read before cost nothing.
+// The loss of a choice is the probability that the request misses its target there,
+// plus the probability that streams already running there exceed their gap limit,
+// plus a cost for the work itself. Work is counted in prompt tokens to prefill:
+// requests differ a hundredfold in it, and counting requests queues short ones behind
+// long ones. Prompt parts in the upstream's cache cost nothing.
 //
-// A Pool is plain code over events and time. The node that holds the pool of a
-// service decides for all; other nodes keep pools of their own sends for the time
-// when the holder doesn't answer.
+// A Pool does no I/O; it is driven by events and timestamps. The node that holds the
+// pool of a service decides for all nodes. The other nodes keep pools of the requests
+// that they sent themselves, for when the holder doesn't answer.
 package balancer
 
 import "time"
 
-// PromptPart is one shared part of a prompt.
+// PromptPart is a part of a prompt that requests may share.
 type PromptPart struct {
 	ID     string `json:"i"`
 	Tokens int    `json:"t"`
 }
 
-// Request is a request as the balancer sees it.
+// Request describes a request to the balancer.
 type Request struct {
-	// ID is unique among the requests of all nodes.
+	// ID is unique across all nodes.
 	ID string `json:"id"`
-	// Priority is that of the request's class, 0 first.
+	// Priority is the priority of the request's class; 0 is the most urgent.
 	Priority int `json:"p"`
-	// OrganisationRank decides among requests of one priority, 0 first.
+	// OrganisationRank orders requests of the same priority; 0 goes first.
 	OrganisationRank int `json:"r,omitempty"`
-	// PromptParts are the prompt's parts in their order; empty for plain services.
+	// PromptParts are the parts of the prompt in order; empty for plain services.
 	PromptParts []PromptPart `json:"c,omitempty"`
-	// PromptTokens counts all of the prompt; at least the sum of Parts.
+	// PromptTokens is the length of the whole prompt, at least the sum of PromptParts.
 	PromptTokens int `json:"n,omitempty"`
-	// OutputTokens is the largest number of tokens to generate.
+	// OutputTokens is the maximum number of tokens to generate.
 	OutputTokens int `json:"o,omitempty"`
-	// Target is the time to the first event or the answer.
+	// Target is the time limit for the first event, or for the response if it isn't a stream.
 	Target time.Duration `json:"t"`
-	// GapLimit is the longest pause between events; 0 for requests that aren't streams.
+	// GapLimit is the longest acceptable gap between events; 0 if the request isn't a stream.
 	GapLimit time.Duration `json:"g,omitempty"`
-	// TimeLimit is the time after which the request is over in any case.
+	// TimeLimit is the time after which the request ends in any case.
 	TimeLimit time.Duration `json:"l"`
-	// AcceptAny says that the request has waited so long that any upstream in time is better than more waiting.
+	// AcceptAny is set once the request has waited so long that any upstream that meets
+	// its target is better than waiting for the best one.
 	AcceptAny bool `json:"-"`
-	// Waited is how long it has waited in the pool.
+	// Waited is the time that the request has spent in the queue.
 	Waited time.Duration `json:"-"`
-	// Excluded are upstreams that failed the request before.
+	// Excluded lists upstreams that failed the request before.
 	Excluded []string `json:"x,omitempty"`
 }
 
-// tokens is the memory that the request may come to take up.
+// tokens returns the most memory that the request may need, in tokens.
 func (r *Request) tokens() int {
 	return r.PromptTokens + r.OutputTokens
 }
 
-// Load is what a server tells of itself in an answer.
+// Load is the load that a server reports in a response.
 type Load struct {
-	// Running and Waiting are the numbers of requests there, from all nodes.
+	// Running and Waiting count the requests at the server, from all nodes.
 	Running int `json:"r"`
 	Waiting int `json:"w"`
 }
@@ -64,17 +64,17 @@
 type Outcome int
 
 const (
-	// Served requests were answered.
+	// Served means that the request was answered.
 	Served Outcome = iota
-	// Failed requests got an error or a broken answer.
+	// Failed means that the request got an error or an incomplete response.
 	Failed
-	// Rejected requests were not run: the upstream was full or is another one.
+	// Rejected means that the request did not run: the upstream was full, or another one answered.
 	Rejected
-	// Unreachable upstreams took no connection.
+	// Unreachable means that the upstream accepted no connection.
 	Unreachable
-	// Abandoned requests ended for a reason that says nothing of the upstream.
+	// Abandoned means that the request ended for a reason unrelated to the upstream.
 	Abandoned
-	// Replaced upstreams are gone: another server answers at their address.
+	// Replaced means that another server answers at the upstream's address.
 	Replaced
 )
 
@@ -82,13 +82,13 @@
 type Upstream struct {
 	ID      string
 	Address string
-	// Born tells two starts of one ID apart; 0 if it isn't known.
+	// Born identifies a start of the server, so that a restart under the same ID is noticed; 0 if unknown.
 	Born     int64
 	Slots    int
 	Draining bool
 }
 
-// Engine is what is known of a pool's engines; the zero Engine stands for a plain service.
+// Engine holds the properties of a pool's engines. The zero Engine stands for a plain service.
 type Engine struct {
 	CacheTokens int
 	EventTokens int
