--- a/internal/gateway/balancer/matching.go
+++ b/internal/gateway/balancer/matching.go
@@ -6,35 +6,35 @@
 )
 
 const (
-	// mostDeclined bounds the work of one look for room: a choice looks at all servers.
-	mostDeclined = 2
-	// overduePart is the part of its patience after which a request doesn't wait for the right server any more.
-	overduePart = 0.5
-	// matchWindow is the number of waiting requests among which room is given, and matchRank how much further
-	// back in rank than the first of them one may be: 450 ms of waiting, so that a request whose session no
-	// engine knows gets room before its patience is over.
-	matchWindow = 64
-	matchRank   = 0.3
-	// missingPart is what a token that must still be read counts against one that is known. Shorter prompts let more
-	// requests be served; by length alone 0.36 of the longest tenth were, and 0.78 of all.
-	missingPart = 0.35
+	// maxDeclined limits the work of one GrantQueued call, as each choice examines all servers.
+	maxDeclined = 2
+	// acceptAnyFraction is the fraction of its patience after which a request no longer waits for the best server.
+	acceptAnyFraction = 0.5
+	// matchWindow is the number of queued requests that compete for free room. matchRankRange is how much higher
+	// than the first one's rank theirs may be: equivalent to 450 ms of waiting, so that a request whose session
+	// no engine has cached gets a server before its patience ends.
+	matchWindow    = 64
+	matchRankRange = 0.3
+	// uncachedWeight is the weight of an uncached token relative to a cached one. Serving shorter prompts first
+	// serves more requests, but ordering by length alone served 0.36 of the longest tenth and 0.78 of all.
+	uncachedWeight = 0.35
 )
 
-// nextMatch returns the request that is to get the room that there is: of those with the priority of the
-// first one that fits and about its waiting time, the one that fits the servers with room best.
+// nextMatch returns the queued request to which the free room goes. Among those that have the priority of the first
+// one that fits and have waited about as long, it is the one that best fits the servers with room.
 //
-// Under overload the room is always at one server only. Taken strictly in turn, a request would hardly
-// ever meet the server that has read its session before. By what must still be read
-// alone the longest prompts would never get room.
+// Under overload only one server has room at a time. In strict queue order, a request would rarely
+// get the server that has cached its session. Ordered by uncached tokens alone, the longest prompts
+// would never be served.
 func (p *Pool) nextMatch(now time.Time, declined map[*queued]bool) (*queued, bool) {
 	var (
 		head, best *queued
 		bestFit    = math.Inf(-1)
-		// seen is the number of requests that had room.
-		seen = 0
+		// fitting is the number of requests that fit.
+		fitting = 0
 	)
 
-	open := p.open(now)
+	open := p.openServers(now)
 	if len(open) == 0 {
 		return nil, false
 	}
@@ -44,20 +44,20 @@
 			continue
 		}
 
-		// Only requests of the first one's priority compete with it.
-		if head != nil && q.work.Priority != head.work.Priority {
+		// Only requests with the priority of the first one compete with it.
+		if head != nil && q.request.Priority != head.request.Priority {
 			continue
 		}
 
-		if seen == matchWindow || head != nil && q.place > head.place+matchRank {
+		if fitting == matchWindow || head != nil && q.sortRank > head.sortRank+matchRankRange {
 			break
 		}
 
-		q.work.TimeLimit = q.deadline.Sub(now)
-		q.work.Waited = now.Sub(q.since)
-		q.work.AcceptAny = q.work.Waited > time.Duration(float64(q.until.Sub(q.since))*overduePart)
+		q.request.TimeLimit = q.deadline.Sub(now)
+		q.request.Waited = now.Sub(q.queuedAt)
+		q.request.AcceptAny = q.request.Waited > time.Duration(float64(q.refuseAt.Sub(q.queuedAt))*acceptAnyFraction)
 
-		fit, ok := p.bestFit(now, open, &q.work)
+		fit, ok := p.bestFit(now, open, &q.request)
 		if !ok {
 			continue
 		}
@@ -66,7 +66,7 @@
 			head = q
 		}
 
-		seen++
+		fitting++
 
 		if fit > bestFit {
 			best, bestFit = q, fit
@@ -76,27 +76,27 @@
 	return best, best != nil
 }
 
-// bestFit tells how well the request goes with the best of the servers that take it, in prompt tokens: what it has
-// read of the prompt, less a part of what it must still read.
-func (p *Pool) bestFit(now time.Time, open []*server, work *Request) (float64, bool) {
+// bestFit returns how well the request fits the best server that accepts it, in prompt tokens: the cached ones
+// minus a fraction of the uncached ones.
+func (p *Pool) bestFit(now time.Time, open []*server, request *Request) (float64, bool) {
 	best, found := math.Inf(-1), false
 
 	for _, s := range open {
-		if p.takes(now, s, work) {
-			missing := float64(s.missingTokens(work))
-			best, found = max(best, float64(work.PromptTokens)-missing-missingPart*missing), true
+		if p.accepts(now, s, request) {
+			missing := float64(s.uncachedTokens(request))
+			best, found = max(best, float64(request.PromptTokens)-missing-uncachedWeight*missing), true
 		}
 	}
 
 	return best, found
 }
 
-// open returns the servers that could take one more small request.
-func (p *Pool) open(now time.Time) []*server {
+// openServers returns the servers that could accept one more small request.
+func (p *Pool) openServers(now time.Time) []*server {
 	var open []*server
 
 	for _, s := range p.servers {
-		if p.takes(now, s, &Request{}) {
+		if p.accepts(now, s, &Request{}) {
 			open = append(open, s)
 		}
 	}
--- a/internal/gateway/estimator/estimator.go
+++ b/internal/gateway/estimator/estimator.go
@@ -1,106 +1,106 @@
-// Package estimator learns how fast the upstreams of a pool work, from what is
-// seen of their answers.
+// Package estimator estimates the performance of a pool's upstreams from their
+// observed response times.
 //
-// Engines differ severalfold in how fast they read prompts and make tokens, and
-// nobody tells a router which it has. Figures that hold for other engines make it
-// expect answers at the wrong time: it then takes a busy upstream for an idle
-// one, or lets long prompts in beside streams that stall over them.
+// Engines differ severalfold in how fast they read prompts and generate tokens, and
+// the router isn't told which kind it has. With the estimates of another kind it
+// would expect responses at the wrong time: it would take a busy upstream for an
+// idle one, or send long prompts to engines where they stall streams.
 //
-// An estimate is a quantile that moves by a step for each observation, whatever
-// the size of the deviation: an answer that was stuck for seconds, or a prompt that was
-// cached although nobody knew, counts no more than any other. Steps shrink with the
-// number of observations, so that a first guess is left quickly and the estimate
-// stays calm later.
+// Each estimate is a quantile that moves by a step for each observation, regardless
+// of the size of the deviation. A response that was stuck for seconds, or a prompt
+// that was cached without the router's knowledge, counts no more than any other
+// observation. Steps shrink with the number of observations, so that the estimate
+// leaves the initial value quickly and is stable later.
 package estimator
 
 import "math"
 
-// First guesses, which some dozen answers replace. They are those of one measured kind of engine.
+// Initial values, which about a dozen responses replace. They are those of one kind of engine.
 const (
-	firstReadingRate = 110.0
-	firstStepTime    = 6.1
-	firstChunkTime   = 18.6
-	firstPlainTime   = 15.0
+	initialPrefillTokensPerMS = 110.0
+	initialStepMS             = 6.1
+	initialChunkMS            = 18.6
+	initialPlainCallMS        = 15.0
 )
 
 const (
-	// firstStep and leastStep bound how far one observation moves an estimate, as a logarithm: at first by a
-	// factor of 1.6, after some 280 by 3%.
-	firstStep = 0.5
-	leastStep = 0.03
-	// chanceRun is the number of observations in a row on one side of an estimate that is still likely by chance.
-	// Each further one adds runGain to the step, so that a change of all upstreams is followed within a second or two.
-	chanceRun = 6
-	runGain   = 0.3
-	// median is the quantile of times that a typical answer takes.
+	// initialGain and minGain are the largest and the smallest step of an estimate for one observation, as a logarithm:
+	// a factor of 1.6 at first, 3% after about 280 observations.
+	initialGain = 0.5
+	minGain     = 0.03
+	// maxChanceRun is the number of consecutive observations on one side of an estimate that is still likely by chance.
+	// Each further one adds runGain to the step factor, so that the estimate follows a change of all upstreams within 1 to 2 s.
+	maxChanceRun = 6
+	runGain      = 0.3
+	// median is the quantile for typical times.
 	median = 0.5
-	// usualWorst is the quantile of the longest pause of a stream: what most streams stay under.
-	usualWorst = 0.7
+	// highQuantile is the quantile for the longest gap of a stream, which most streams stay below.
+	highQuantile = 0.7
 )
 
-// Estimates are what an estimator believes of a pool's upstreams.
+// Estimates holds the estimated performance of a pool's upstreams.
 type Estimates struct {
-	// PrefillTokensPerMS is the number of prompt tokens that an engine reads in a millisecond.
+	// PrefillTokensPerMS is the number of prompt tokens that an engine reads per millisecond.
 	PrefillTokensPerMS float64 `json:"reading_rate"`
-	// StepMS is the time of one token of a stream in milliseconds while no prompts are read beside it.
+	// StepMS is the time per output token of a stream while the engine prefills nothing.
 	StepMS float64 `json:"step_ms"`
-	// PrefillGapMS is the longest pause between two events of a stream in milliseconds while prompts are read beside it.
+	// PrefillGapMS is the longest gap between two events of a stream while the engine prefills.
 	PrefillGapMS float64 `json:"reading_pause_ms"`
-	// PlainCallMS is the time of one call of a plain service in milliseconds.
+	// PlainCallMS is the time of one call of a plain service.
 	PlainCallMS float64 `json:"plain_ms"`
 }
 
-// Estimator keeps the figures of one pool. It is not safe for concurrent use.
+// Estimator keeps the estimates of one pool. It is not safe for concurrent use.
 type Estimator struct {
-	readingTime, stepTime, readingPause, plainTime quantile
+	prefillMSPerToken, stepMS, prefillGapMS, plainCallMS quantile
 }
 
-// New returns an estimator that knows nothing yet of engines with so many tokens in one event; 0 for plain services.
+// New returns an estimator with initial values for engines that send the given number of tokens per event; 0 for plain services.
 func New(eventTokens int) *Estimator {
 	events := float64(max(eventTokens, 1))
 
 	return &Estimator{
-		readingTime:  newQuantile(median, 1/firstReadingRate),
-		stepTime:     newQuantile(median, firstStepTime),
-		readingPause: newQuantile(usualWorst, events*(firstStepTime+firstChunkTime)),
-		plainTime:    newQuantile(median, firstPlainTime),
+		prefillMSPerToken: newQuantile(median, 1/initialPrefillTokensPerMS),
+		stepMS:            newQuantile(median, initialStepMS),
+		prefillGapMS:      newQuantile(highQuantile, events*(initialStepMS+initialChunkMS)),
+		plainCallMS:       newQuantile(median, initialPlainCallMS),
 	}
 }
 
-// ObservePrefill takes in the milliseconds that an engine needed to read so many tokens.
-func (e *Estimator) ObservePrefill(tokens, took float64) {
+// ObservePrefill takes the time in milliseconds in which an engine read the given number of tokens.
+func (e *Estimator) ObservePrefill(tokens, elapsedMS float64) {
 	if tokens > 0 {
-		e.readingTime.take(took / tokens)
+		e.prefillMSPerToken.observe(elapsedMS / tokens)
 	}
 }
 
-// ObserveStep takes in the mean time of a token in milliseconds, of a stream beside which no prompts were read.
-func (e *Estimator) ObserveStep(took float64) { e.stepTime.take(took) }
+// ObserveStep takes the mean time per token in milliseconds of a stream without prefill on its engine.
+func (e *Estimator) ObserveStep(stepMS float64) { e.stepMS.observe(stepMS) }
 
-// ObservePrefillGap takes in the longest pause in milliseconds of a stream beside which prompts were read.
-func (e *Estimator) ObservePrefillGap(longest float64) { e.readingPause.take(longest) }
+// ObservePrefillGap takes the longest gap in milliseconds of a stream with prefill on its engine.
+func (e *Estimator) ObservePrefillGap(gapMS float64) { e.prefillGapMS.observe(gapMS) }
 
-// ObservePlainCall takes in the milliseconds of one call of a plain service that had a slot at once.
-func (e *Estimator) ObservePlainCall(took float64) { e.plainTime.take(took) }
+// ObservePlainCall takes the time in milliseconds of one call of a plain service that got a slot immediately.
+func (e *Estimator) ObservePlainCall(callMS float64) { e.plainCallMS.observe(callMS) }
 
-// Estimates returns the present estimates.
+// Estimates returns the current estimates.
 func (e *Estimator) Estimates() Estimates {
 	return Estimates{
-		PrefillTokensPerMS: 1 / e.readingTime.value,
-		StepMS:             e.stepTime.value,
-		PrefillGapMS:       e.readingPause.value,
-		PlainCallMS:        e.plainTime.value,
+		PrefillTokensPerMS: 1 / e.prefillMSPerToken.value,
+		StepMS:             e.stepMS.value,
+		PrefillGapMS:       e.prefillGapMS.value,
+		PlainCallMS:        e.plainCallMS.value,
 	}
 }
 
-// quantile follows a quantile of what it takes in.
+// quantile estimates a quantile of its observations.
 type quantile struct {
-	// share is the part of the observations that are below the quantile.
+	// share is the fraction of observations below the quantile.
 	share float64
-	// value is the estimate; above 0.
+	// value is the estimate; it is always positive.
 	value float64
-	seen  int
-	// run counts the last observations that were all above it, or all below if negative.
+	count int
+	// run is the number of consecutive observations above the estimate, or the negative number below it.
 	run int
 }
 
@@ -108,26 +108,26 @@
 	return quantile{share: share, value: first}
 }
 
-func (q *quantile) take(observed float64) {
-	if !(observed > 0) { // Not a number isn't either.
+func (q *quantile) observe(observed float64) {
+	if !(observed > 0) { // Also true for NaN.
 		return
 	}
 
-	q.seen++
-	step := max(firstStep/math.Sqrt(float64(q.seen)), leastStep)
+	q.count++
+	step := max(initialGain/math.Sqrt(float64(q.count)), minGain)
 
 	if observed > q.value {
 		q.run = max(q.run, 0) + 1
-		q.value *= math.Exp(step * q.share * q.hurry())
+		q.value *= math.Exp(step * q.share * q.runFactor())
 	} else {
 		q.run = min(q.run, 0) - 1
-		q.value *= math.Exp(-step * (1 - q.share) * q.hurry())
+		q.value *= math.Exp(-step * (1 - q.share) * q.runFactor())
 	}
 }
 
-// hurry is the factor by which a step is longer when many observations in a row say the same.
-func (q *quantile) hurry() float64 {
+// runFactor returns the factor that lengthens a step when many consecutive observations are on the same side.
+func (q *quantile) runFactor() float64 {
 	run := max(q.run, -q.run)
 
-	return 1 + runGain*float64(max(run-chanceRun, 0))
+	return 1 + runGain*float64(max(run-maxChanceRun, 0))
 }
