--- a/internal/granter/batcher.go
+++ b/internal/granter/batcher.go
@@ -85,7 +85,7 @@
 }
 
 func (b *batcher) direct(peer string) bool {
-	return b.router.options.Policy != PolicyBatched || b.local(peer)
+	return b.router.options.MessagePolicy != MessageBatched || b.local(peer)
 }
 
 func (b *batcher) local(peer string) bool {
@@ -105,14 +105,14 @@
 	return result.Answers[0], nil
 }
 
-// call sends one message with asks and waits for its answer, HolderSilence at most.
+// call sends one message with asks and waits for its answer, HolderTimeout at most.
 func (b *batcher) call(ctx context.Context, peer string, params askParams) (askResult, error) {
 	r := b.router
 	if b.local(peer) {
 		return r.holder.take(peer, params), nil
 	}
 
-	ctx, cancel := context.WithTimeout(ctx, r.options.HolderSilence)
+	ctx, cancel := context.WithTimeout(ctx, r.options.HolderTimeout)
 	defer cancel()
 
 	r.counters.messages.Add(1)
@@ -132,7 +132,7 @@
 )
 
 // tell sends a message without asks. A lost release holds its slot until the
-// holder's second comparison, which may be ReconcileAtMost away; so one that
+// holder's second comparison, which may be MaxReconcileInterval away; so one that
 // fails is sent again, which changes nothing when it had arrived.
 func (b *batcher) tell(peer string, params askParams) {
 	if b.local(peer) {
@@ -159,7 +159,7 @@
 func (b *batcher) tellOnce(peer string, params askParams) error {
 	r := b.router
 
-	ctx, cancel := context.WithTimeout(r.ctx, r.options.HolderSilence)
+	ctx, cancel := context.WithTimeout(r.ctx, r.options.HolderTimeout)
 	defer cancel()
 
 	r.counters.messages.Add(1)
@@ -167,7 +167,7 @@
 	return r.caller.Notify(ctx, peer, MethodRelease, params)
 }
 
-// gather adds to the batch for a holder, and sends it at once or after BatchEvery.
+// gather adds to the batch for a holder, and sends it at once or after MaxBatchDelay.
 func (b *batcher) gather(peer string, urgent bool, add func(*batch)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -175,7 +175,7 @@
 	m := b.batches[peer]
 	if m == nil {
 		m = &batch{}
-		m.timer = time.AfterFunc(b.router.options.BatchEvery, func() { b.flush(peer, m) })
+		m.timer = time.AfterFunc(b.router.options.MaxBatchDelay, func() { b.flush(peer, m) })
 		b.batches[peer] = m
 	}
 
--- a/internal/granter/faults_test.go
+++ b/internal/granter/faults_test.go
@@ -125,7 +125,7 @@
 
 			stop()
 			assert.NilError(t, err, "request %d waited %s", i, waited)
-			assert.Assert(t, waited <= options.AskAgainAfter+2*time.Second, "request %d waited %s", i, waited)
+			assert.Assert(t, waited <= options.ResendInterval+2*time.Second, "request %d waited %s", i, waited)
 		}
 	})
 }
--- a/internal/granter/granter_test.go
+++ b/internal/granter/granter_test.go
@@ -57,9 +57,9 @@
 }
 
 func TestSlotsAreSharedByAllEntries(t *testing.T) {
-	for _, policy := range []Policy{PolicyPerRequest, PolicyBatched} {
+	for _, policy := range []MessagePolicy{MessagePerRequest, MessageBatched} {
 		options := fixed()
-		options.Policy = policy
+		options.MessagePolicy = policy
 
 		inVirtualTime(t, 3, 2, 3, options, func(t *testing.T, ctx context.Context, n *network) {
 			time.Sleep(time.Second)
@@ -79,11 +79,11 @@
 }
 
 func TestBatchesSaveMessages(t *testing.T) {
-	sent := map[Policy]int{}
+	sent := map[MessagePolicy]int{}
 
-	for _, policy := range []Policy{PolicyPerRequest, PolicyBatched} {
+	for _, policy := range []MessagePolicy{MessagePerRequest, MessageBatched} {
 		options := fixed()
-		options.Policy = policy
+		options.MessagePolicy = policy
 
 		inVirtualTime(t, 3, 4, 32, options, func(t *testing.T, ctx context.Context, n *network) {
 			failed := crowd(ctx, n, 3000, "chat", 300*time.Microsecond, 20*time.Millisecond)
@@ -96,7 +96,7 @@
 		})
 	}
 
-	assert.Assert(t, sent[PolicyBatched] < sent[PolicyPerRequest]/2, "%v", sent)
+	assert.Assert(t, sent[MessageBatched] < sent[MessagePerRequest]/2, "%v", sent)
 }
 
 // Symptom: a counter lookup hung until its caller gave up. Sequence: the pool's
@@ -117,7 +117,7 @@
 		waited, err = entry.run(ctx, "counter", time.Millisecond)
 		assert.NilError(t, err)
 		assert.Assert(t, waited <= 10*time.Millisecond, "the next holder answers, or this node itself: %s", waited)
-		assert.Equal(t, entry.router.Counters().WithoutHolder, int64(1))
+		assert.Equal(t, entry.router.Counters().FallbackAttempts, int64(1))
 
 		n.thaw(frozen)
 		time.Sleep(5 * time.Second)
@@ -208,9 +208,9 @@
 // Symptom: two requests ran too many for each lost message, until the node restarted.
 // Sequence: decisions and releases are lost at random. Cause: grants that nobody uses.
 func TestLostMessagesLoseNoCapacity(t *testing.T) {
-	for _, policy := range []Policy{PolicyPerRequest, PolicyBatched} {
+	for _, policy := range []MessagePolicy{MessagePerRequest, MessageBatched} {
 		options := fixed()
-		options.Policy = policy
+		options.MessagePolicy = policy
 
 		inVirtualTime(t, 4, 2, 4, options, func(t *testing.T, ctx context.Context, n *network) {
 			n.lose(0.1)
@@ -349,7 +349,7 @@
 func TestFaultsAtRandomLoseNoCapacity(t *testing.T) {
 	for seed := range uint64(12) {
 		options := fixed()
-		options.Policy = []Policy{PolicyPerRequest, PolicyBatched}[seed%2]
+		options.MessagePolicy = []MessagePolicy{MessagePerRequest, MessageBatched}[seed%2]
 		options.Pool.NoPreemption = seed%3 == 0
 
 		inVirtualTime(t, 4, 2, 4, options, func(t *testing.T, ctx context.Context, n *network) {
--- a/internal/granter/holder.go
+++ b/internal/granter/holder.go
@@ -259,7 +259,7 @@
 			part:     part,
 			pool:     scheduler.New(partOf(settings, part), options),
 			revision: snapshot.Revision,
-			pacer:    newPacer(h.options.ReconcileEvery, h.options.ReconcileAtMost),
+			pacer:    newPacer(h.options.ReconcileInterval, h.options.MaxReconcileInterval),
 			heardAt:  make(map[string]time.Time),
 		}
 		p.timer = time.AfterFunc(time.Hour, func() { h.tick(p) })
@@ -307,7 +307,7 @@
 		return
 	}
 
-	ctx, cancel := context.WithTimeout(h.ctx, h.options.ReconcileEvery)
+	ctx, cancel := context.WithTimeout(h.ctx, h.options.ReconcileInterval)
 	defer cancel()
 
 	err := h.caller.Notify(ctx, entry, MethodDecided, decidedParams{Decisions: decisions})
--- a/internal/granter/reconciler.go
+++ b/internal/granter/reconciler.go
@@ -10,10 +10,10 @@
 	"quincepath.example/quincepath/internal/scheduler"
 )
 
-// asksToForget times AskAgainAfter is how long an entry may give no sign of life until it
+// asksToForget times ResendInterval is how long an entry may give no sign of life until it
 // counts as gone, even while the list of live nodes still names it.
 //
-// An entry that waits asks again each AskAgainAfter, and gets then what it was granted
+// An entry that waits asks again each ResendInterval, and gets then what it was granted
 // meanwhile, if the decision was lost. Forgotten before, the grant would be made anew,
 // be lost as well, and so on for as long as the way to the entry is cut: its caller would get neither
 // an answer nor a refusal beside idle servers. One ask of two may be lost too.
@@ -55,7 +55,7 @@
 
 // reconcile compares the pool's grants with its entries until the pool is idle and not held here.
 func (h *Holder) reconcile(p *heldPool) {
-	ticker := time.NewTicker(h.options.ReconcileEvery)
+	ticker := time.NewTicker(h.options.ReconcileInterval)
 	defer ticker.Stop()
 
 	for {
@@ -187,7 +187,7 @@
 		return h.entry.inFlight(pool), nil
 	}
 
-	ctx, cancel := context.WithTimeout(h.ctx, h.options.ReconcileEvery)
+	ctx, cancel := context.WithTimeout(h.ctx, h.options.ReconcileInterval)
 	defer cancel()
 
 	params := inFlightParams{Pool: pool}
@@ -217,7 +217,7 @@
 			p.heardAt[entry] = now
 		}
 
-		if !gone && now.Sub(p.heardAt[entry]) < asksToForget*h.options.AskAgainAfter {
+		if !gone && now.Sub(p.heardAt[entry]) < asksToForget*h.options.ResendInterval {
 			return nil
 		}
 
--- a/internal/granter/router.go
+++ b/internal/granter/router.go
@@ -101,7 +101,7 @@
 				return slot, err
 			}
 
-			again = r.options.HolderSilence
+			again = r.options.HolderTimeout
 		}
 
 		d, err := r.await(ctx, p, again)
@@ -179,14 +179,14 @@
 	}
 }
 
-// askAgain is short for tier 1, so that it notices within HolderSilence when a
+// askAgain is short for tier 1, so that it notices within HolderTimeout when a
 // holder dies that had it queued.
 func (r *Router) askAgain(p *pending) time.Duration {
 	if p.class.Tier == topTier {
-		return r.options.HolderSilence
+		return r.options.HolderTimeout
 	}
 
-	return r.options.AskAgainAfter
+	return r.options.ResendInterval
 }
 
 // goWithout is for an ask whose holder is silent. Tier 1 goes at once to the
--- a/internal/granter/types.go
+++ b/internal/granter/types.go
@@ -12,11 +12,11 @@
 //     whether the ask still waits or was granted.
 //   - The holder compares its grants with what each entry has in flight; what
 //     the entry doesn't know twice running is free again, and what the holder
-//     doesn't know is taken over. It does so within ReconcileEvery when either
+//     doesn't know is taken over. It does so within ReconcileInterval when either
 //     end noticed that something may differ: a new holder, a silent one that
 //     answers again, an entry that grants of another holder serve, a decision
-//     that didn't arrive. What neither noticed ends by ReconcileAtMost and
-//     ReconcileEvery together.
+//     that didn't arrive. What neither noticed ends by MaxReconcileInterval and
+//     ReconcileInterval together.
 //
 // Locks, in the order in which they may be taken: Holder.mu, heldPool.mu,
 // outbox.mu. Router.mu and batcher.mu are taken alone. None is held during a message.
@@ -32,14 +32,14 @@
 	"quincepath.example/quincepath/internal/scheduler"
 )
 
-// Policy says how asks and releases travel to a holder.
-type Policy string
+// MessagePolicy says how asks and releases travel to a holder.
+type MessagePolicy string
 
 const (
-	// PolicyPerRequest sends each ask and each release at once in a message of its own.
-	PolicyPerRequest Policy = "per_request"
-	// PolicyBatched gathers asks and releases for BatchEvery; tier 1 asks flush at once.
-	PolicyBatched Policy = "batched"
+	// MessagePerRequest sends each ask and each release at once in a message of its own.
+	MessagePerRequest MessagePolicy = "per_request"
+	// MessageBatched gathers asks and releases for MaxBatchDelay; tier 1 asks flush at once.
+	MessageBatched MessagePolicy = "batched"
 )
 
 // Options of a Holder and a Router. The zero value of a field means its default.
@@ -50,47 +50,47 @@
 	Incarnation string
 	// Pool is the policy of the pools that this node holds.
 	Pool scheduler.Options
-	// Policy of the messages. Default PolicyPerRequest.
-	Policy Policy
-	// BatchEvery is the longest time for which PolicyBatched gathers. Default 3 ms.
-	BatchEvery time.Duration
-	// HolderSilence is how long a holder may take to acknowledge an ask. Default 150 ms.
-	HolderSilence time.Duration
-	// AskAgainAfter is the time after which a queued ask below tier 1 is sent again;
-	// tier 1 asks again after HolderSilence. Default 5 s.
-	AskAgainAfter time.Duration
-	// ReconcileEvery is the time between rounds of comparisons, and between those
+	// MessagePolicy of the messages. Default MessagePerRequest.
+	MessagePolicy MessagePolicy
+	// MaxBatchDelay is the longest time for which MessageBatched gathers. Default 3 ms.
+	MaxBatchDelay time.Duration
+	// HolderTimeout is how long a holder may take to acknowledge an ask. Default 150 ms.
+	HolderTimeout time.Duration
+	// ResendInterval is the time after which a queued ask below tier 1 is sent again;
+	// tier 1 asks again after HolderTimeout. Default 5 s.
+	ResendInterval time.Duration
+	// ReconcileInterval is the time between rounds of comparisons, and between those
 	// with an entry while they differ. Default 1 s.
-	ReconcileEvery time.Duration
-	// ReconcileAtMost is the longest time between comparisons with an entry. Default 10 s.
-	ReconcileAtMost time.Duration
+	ReconcileInterval time.Duration
+	// MaxReconcileInterval is the longest time between comparisons with an entry. Default 10 s.
+	MaxReconcileInterval time.Duration
 	// Logger takes what requests wait for and which holders are silent; the zero logger writes nothing.
 	Logger zerolog.Logger
 }
 
 func (o Options) withDefaults() Options {
-	if o.Policy == "" {
-		o.Policy = PolicyPerRequest
+	if o.MessagePolicy == "" {
+		o.MessagePolicy = MessagePerRequest
 	}
 
-	if o.BatchEvery == 0 {
-		o.BatchEvery = 3 * time.Millisecond
+	if o.MaxBatchDelay == 0 {
+		o.MaxBatchDelay = 3 * time.Millisecond
 	}
 
-	if o.HolderSilence == 0 {
-		o.HolderSilence = 150 * time.Millisecond
+	if o.HolderTimeout == 0 {
+		o.HolderTimeout = 150 * time.Millisecond
 	}
 
-	if o.AskAgainAfter == 0 {
-		o.AskAgainAfter = 5 * time.Second
+	if o.ResendInterval == 0 {
+		o.ResendInterval = 5 * time.Second
 	}
 
-	if o.ReconcileEvery == 0 {
-		o.ReconcileEvery = time.Second
+	if o.ReconcileInterval == 0 {
+		o.ReconcileInterval = time.Second
 	}
 
-	if o.ReconcileAtMost == 0 {
-		o.ReconcileAtMost = 10 * time.Second
+	if o.MaxReconcileInterval == 0 {
+		o.MaxReconcileInterval = 10 * time.Second
 	}
 
 	return o
--- a/internal/granter/watcher.go
+++ b/internal/granter/watcher.go
@@ -18,10 +18,10 @@
 type RouterCounters struct {
 	// Messages counts messages sent to holders on other nodes.
 	Messages int64 `json:"messages"`
-	// WithoutHolder counts attempts that ran without a holder's grant.
-	WithoutHolder int64 `json:"without_holder"`
-	// Silences counts the times at which a holder became silent.
-	Silences int64 `json:"silences"`
+	// FallbackAttempts counts attempts that ran without a holder's grant.
+	FallbackAttempts int64 `json:"without_holder"`
+	// HolderFailures counts the times at which a holder became silent.
+	HolderFailures int64 `json:"silences"`
 }
 
 type routerCounters struct {
@@ -37,9 +37,9 @@
 	defer r.mu.Unlock()
 
 	return RouterCounters{
-		Messages:      r.counters.messages.Load(),
-		WithoutHolder: r.counters.WithoutHolder,
-		Silences:      r.counters.Silences,
+		Messages:         r.counters.messages.Load(),
+		FallbackAttempts: r.counters.WithoutHolder,
+		HolderFailures:   r.counters.Silences,
 	}
 }
 
@@ -143,7 +143,7 @@
 }
 
 func (r *Router) answers(peer string) bool {
-	ctx, cancel := context.WithTimeout(r.ctx, r.options.HolderSilence)
+	ctx, cancel := context.WithTimeout(r.ctx, r.options.HolderTimeout)
 	defer cancel()
 
 	return r.caller.Call(ctx, peer, MethodAsk, askParams{}, &askResult{}) == nil
--- a/internal/server/slots.go
+++ b/internal/server/slots.go
@@ -14,10 +14,10 @@
 	}
 
 	options := granter.Options{
-		Node:        n.identity.node,
-		Incarnation: n.identity.incarnation,
-		Policy:      granter.PolicyPerRequest,
-		Logger:      n.logger,
+		Node:          n.identity.node,
+		Incarnation:   n.identity.incarnation,
+		MessagePolicy: granter.MessagePerRequest,
+		Logger:        n.logger,
 		Pool: scheduler.Options{
 			EnginePriority: n.settings.Routing.EnginePriority,
 			Oversubscribe:  n.settings.Routing.Oversubscribe,
@@ -26,7 +26,7 @@
 	}
 
 	if n.settings.Routing.Policy == loader.PolicyQueueCredits {
-		options.Policy = granter.PolicyBatched
+		options.MessagePolicy = granter.MessageBatched
 	}
 
 	holder := granter.NewHolder(n.work, n.tree, n.members, n.messages, options)
