--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// WeighBy has stragglers and failing upstreams get less work. Call it before the first request.
-func (p *PowerOfTwo) WeighBy(weigher Weigher) {
+// SetWeigher has stragglers and failing upstreams get less work. Call it before the first request.
+func (p *PowerOfTwo) SetWeigher(weigher Weigher) {
 	p.weigher = weigher
 }
 
