--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -1,6 +1,6 @@
-// Package placer chooses upstreams without a shared queue: every node decides
-// for itself from load reports that lag. It is the baseline policy that the
-// exact queue of a pool holder is measured against.
+// Package placer implements power-of-two-choices load balancing. There is no
+// shared queue: each node chooses upstreams on its own from load reports that
+// lag. It is the baseline that the exact queue of a pool holder is compared with.
 package placer
 
 import (
@@ -16,55 +16,56 @@
 	"quincepath.example/quincepath/pkg/classifier"
 )
 
-// noUpstreamWait is what a caller is told when no upstream of a service can be chosen.
-const noUpstreamWait = 2 * time.Second
+// noUpstreamRetryAfter is the Retry-After of a request that no upstream of its service can take.
+const noUpstreamRetryAfter = 2 * time.Second
 
-// Load is one lagged load report of an upstream.
+// Load is the load that an upstream reported last; it lags behind the true load.
 type Load struct {
 	Running int
 	Waiting int
 }
 
-// Snapshotter gives the settings that are in force.
+// Snapshotter returns the settings that are in force.
 type Snapshotter interface {
 	Snapshot() configurer.Snapshot
 }
 
-// Weigher says how much of its usual work an upstream should get, from 0 (none) to 1 (all).
+// Weigher returns the share of its usual load that an upstream should get, from 0 (none) to 1 (all).
 type Weigher interface {
 	Weight(now time.Time, service, upstream string) float64
 }
 
-// PowerOfTwo picks the less loaded of two random upstreams. It is safe for concurrent use.
+// PowerOfTwo chooses the less loaded of two random upstreams. It is safe for concurrent use.
 type PowerOfTwo struct {
 	settings Snapshotter
-	// weigher is nil when all upstreams count alike.
+	// weigher is nil if all upstreams have the same weight.
 	weigher Weigher
 
 	mu sync.Mutex
-	// loads holds the last report of each upstream, by address.
+	// loads is the latest report of each upstream, by address.
 	loads map[string]Load
-	// sent counts the requests that this node has at each upstream, by address; never negative.
-	sent   map[string]int
-	random *rand.Rand
+	// inFlight is the number of requests that this node has in flight at each upstream, by address; never negative.
+	inFlight map[string]int
+	random   *rand.Rand
 }
 
-// NewPowerOfTwo returns the baseline policy with its own random seed.
+// NewPowerOfTwo returns a PowerOfTwo whose random choices are seeded with seed.
 func NewPowerOfTwo(settings Snapshotter, seed uint64) *PowerOfTwo {
 	return &PowerOfTwo{
 		settings: settings,
 		loads:    make(map[string]Load),
-		sent:     make(map[string]int),
+		inFlight: make(map[string]int),
 		random:   rand.New(rand.NewPCG(seed, seed)),
 	}
 }
 
-// SetWeigher has stragglers and failing upstreams get less work. Call it before the first request.
+// SetWeigher makes Acquire skip upstreams of weight 0, such as stragglers and failing
+// ones. Call it before the first request.
 func (p *PowerOfTwo) SetWeigher(weigher Weigher) {
 	p.weigher = weigher
 }
 
-// Report stores a load report.
+// Report stores the load report of an upstream.
 func (p *PowerOfTwo) Report(address string, load Load) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -72,16 +73,16 @@
 	p.loads[address] = load
 }
 
-// Acquire chooses an upstream at once; it never waits.
+// Acquire implements dispatcher.Slotter. It chooses an upstream at once and never waits.
 func (p *PowerOfTwo) Acquire(_ context.Context, ask dispatcher.Ask) (dispatcher.Slot, error) {
 	service, ok := p.settings.Snapshot().Services[ask.Service]
 	if !ok {
 		return dispatcher.Slot{}, classifier.New(classifier.UnknownService, "service %q left the settings tree", ask.Service)
 	}
 
-	candidates := p.weighed(service.Name, usable(service, ask.Exclude))
+	candidates := p.withoutZeroWeight(service.Name, usable(service, ask.Exclude))
 	if len(candidates) == 0 {
-		return dispatcher.Slot{}, classifier.New(classifier.NoUpstream, "no upstream of %q can take the request", ask.Service).After(noUpstreamWait)
+		return dispatcher.Slot{}, classifier.New(classifier.NoUpstream, "no upstream of %q can take the request", ask.Service).After(noUpstreamRetryAfter)
 	}
 
 	p.mu.Lock()
@@ -89,24 +90,24 @@
 
 	chosen := p.choose(candidates)
 	if ask.Spare && p.loadOf(chosen) >= chosen.Slots {
-		return dispatcher.Slot{}, classifier.New(classifier.NoUpstream, "no upstream of %q is known to have a free slot", ask.Service).After(noUpstreamWait)
+		return dispatcher.Slot{}, classifier.New(classifier.NoUpstream, "no upstream of %q is known to have a free slot", ask.Service).After(noUpstreamRetryAfter)
 	}
 
-	p.sent[chosen.Address]++
+	p.inFlight[chosen.Address]++
 
 	return dispatcher.Slot{ID: ask.RequestID, Upstream: chosen, Priority: service.Classes[ask.Class].Tier}, nil
 }
 
-// Release forgets a request that was sent.
+// Release implements dispatcher.Slotter. It ends the count of a request as in flight.
 func (p *PowerOfTwo) Release(slot dispatcher.Slot, _ dispatcher.Ask, _ dispatcher.Outcome) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
-	p.sent[slot.Upstream.Address]--
+	p.inFlight[slot.Upstream.Address]--
 }
 
-// weighed leaves out upstreams that should get nothing now, unless none would be left.
-func (p *PowerOfTwo) weighed(service string, candidates []configurer.Upstream) []configurer.Upstream {
+// withoutZeroWeight returns the candidates whose weight is above 0, or all of them if there are none.
+func (p *PowerOfTwo) withoutZeroWeight(service string, candidates []configurer.Upstream) []configurer.Upstream {
 	if p.weigher == nil {
 		return candidates
 	}
@@ -141,10 +142,10 @@
 func (p *PowerOfTwo) loadOf(upstream configurer.Upstream) int {
 	load := p.loads[upstream.Address]
 
-	return max(load.Running+load.Waiting, p.sent[upstream.Address])
+	return max(load.Running+load.Waiting, p.inFlight[upstream.Address])
 }
 
-// usable lists the upstreams that are neither leaving nor excluded, in name order.
+// usable returns the upstreams that are neither leaving nor excluded, sorted by name.
 func usable(service configurer.Service, exclude []string) []configurer.Upstream {
 	candidates := make([]configurer.Upstream, 0, len(service.Upstreams))
 
