--- a/internal/fencer/fencer.go
+++ b/internal/fencer/fencer.go
@@ -17,8 +17,8 @@
 	"quincepath.example/quincepath/internal/storer"
 )
 
-// ErrHeld means that another holder's lease lasts.
-var ErrHeld = errors.New("another node holds the lease")
+// ErrLeaseHeld means that another holder's lease lasts.
+var ErrLeaseHeld = errors.New("another node holds the lease")
 
 // Store is the part of the platform's key-value service that terms need. Its errors are those of package storer.
 type Store interface {
@@ -83,8 +83,8 @@
 	return prefix + "lease"
 }
 
-// Take begins a term of the given length under a number above floor. It returns ErrHeld while another holder's lease lasts.
-func (f *Fencer) Take(ctx context.Context, length time.Duration, floor int64) (*Term, error) {
+// Acquire begins a term of the given length under a number above floor. It returns ErrLeaseHeld while another holder's lease lasts.
+func (f *Fencer) Acquire(ctx context.Context, length time.Duration, floor int64) (*Term, error) {
 	last, previous, err := f.lastNumber(ctx)
 	if err != nil {
 		return nil, err
@@ -111,10 +111,10 @@
 	}
 
 	t := &Term{
-		Number: next.Number, Record: value, fencer: f, lease: lease, length: length,
-		First:     previous.Number == 0,
-		Continued: previous.Take != "" && previous.Take == f.last,
-		Former:    time.Duration(previous.LeaseMS) * time.Millisecond,
+		Number: next.Number, LeaseValue: value, fencer: f, lease: lease, length: length,
+		IsFirst:        previous.Number == 0,
+		IsContinuation: previous.Take != "" && previous.Take == f.last,
+		PreviousLease:  time.Duration(previous.LeaseMS) * time.Millisecond,
 	}
 	t.extend(sent)
 
@@ -129,7 +129,7 @@
 	return t, nil
 }
 
-// lastNumber returns what the number key holds, or ErrHeld.
+// lastNumber returns what the number key holds, or ErrLeaseHeld.
 func (f *Fencer) lastNumber(ctx context.Context) (storer.KeyValue, record, error) {
 	var previous record
 
@@ -139,7 +139,7 @@
 	}
 
 	if held.Version > 0 {
-		return held, previous, ErrHeld
+		return held, previous, ErrLeaseHeld
 	}
 
 	last, err := f.get(ctx, NumberKey(f.options.Prefix))
@@ -166,8 +166,8 @@
 			{Key: lease, Target: storer.TargetCreate, Number: 0},
 		},
 		Success: []storer.Op{
-			{Kind: storer.OpPut, Key: number, Value: t.Record},
-			{Kind: storer.OpPut, Key: lease, Value: t.Record, Lease: t.lease},
+			{Kind: storer.OpPut, Key: number, Value: t.LeaseValue},
+			{Kind: storer.OpPut, Key: lease, Value: t.LeaseValue, Lease: t.lease},
 		},
 	})
 
@@ -177,7 +177,7 @@
 	case err != nil:
 		return err
 	case !result.Succeeded:
-		return ErrHeld
+		return ErrLeaseHeld
 	}
 
 	return nil
--- a/internal/fencer/term.go
+++ b/internal/fencer/term.go
@@ -15,22 +15,22 @@
 	// lastPart is the part of a lease, one in so many, in which its holder no longer acts. It
 	// covers clocks that run at different speeds and the way of an act to where it takes effect.
 	lastPart = 5
-	// Renewals is how often a lease is renewed in its length.
-	Renewals = 3
+	// RenewalsPerLease is how often a lease is renewed in its length.
+	RenewalsPerLease = 3
 )
 
 // Term is the time in which a process acts under one fencing number. It is safe for concurrent use.
 type Term struct {
 	// Number is higher than that of any earlier term.
 	Number int64
-	// Record is the value of the lease's key.
-	Record []byte
-	// First says that nobody ever took a term before.
-	First bool
-	// Continued says that this process also held the term before, and nobody held one between.
-	Continued bool
-	// Former is the length of the lease of the term before; 0 if there was none.
-	Former time.Duration
+	// LeaseValue is the value of the lease's key.
+	LeaseValue []byte
+	// IsFirst says that nobody ever took a term before.
+	IsFirst bool
+	// IsContinuation says that this process also held the term before, and nobody held one between.
+	IsContinuation bool
+	// PreviousLease is the length of the lease of the term before; 0 if there was none.
+	PreviousLease time.Duration
 
 	fencer *Fencer
 	lease  int64
@@ -65,11 +65,11 @@
 // right before each act it would carry out what it had decided before the pause, under a lease that
 // another node may hold by now.
 func (t *Term) Valid() bool {
-	return t.Left() > 0
+	return t.Remaining() > 0
 }
 
-// Left is the time for which the term is valid; 0 or less when it isn't.
-func (t *Term) Left() time.Duration {
+// Remaining is the time for which the term is valid; 0 or less when it isn't.
+func (t *Term) Remaining() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 
@@ -83,7 +83,7 @@
 // Renew keeps the lease until the context ends or the lease is gone. A lease that the store still had when a renewal
 // arrived has never ended, so the term is valid once more even if it wasn't meanwhile.
 func (t *Term) Renew(ctx context.Context) {
-	for sleeper.Sleep(ctx, t.length/Renewals) && !t.Over() {
+	for sleeper.Sleep(ctx, t.length/RenewalsPerLease) && !t.Ended() {
 		sent := t.fencer.options.Now()
 
 		switch err := t.keepAlive(ctx); {
@@ -95,8 +95,8 @@
 	}
 }
 
-// Over says that the term is over for good: it was ended, or its lease is gone.
-func (t *Term) Over() bool {
+// Ended says that the term is over for good: it was ended, or its lease is gone.
+func (t *Term) Ended() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 
@@ -104,7 +104,7 @@
 }
 
 func (t *Term) keepAlive(ctx context.Context) error {
-	call, cancel := context.WithTimeout(ctx, min(t.fencer.options.CallTimeout, t.length/Renewals))
+	call, cancel := context.WithTimeout(ctx, min(t.fencer.options.CallTimeout, t.length/RenewalsPerLease))
 	defer cancel()
 
 	_, err := t.fencer.options.Store.KeepAlive(call, t.lease)
--- a/internal/gateway/leader/leader.go
+++ b/internal/gateway/leader/leader.go
@@ -123,11 +123,11 @@
 			continue
 		}
 
-		term, err := l.fencer.Take(ctx, l.options.Lease, 0)
+		term, err := l.fencer.Acquire(ctx, l.options.Lease, 0)
 
 		switch {
-		case errors.Is(err, fencer.ErrHeld):
-			sleeper.Sleep(ctx, l.options.Lease/fencer.Renewals)
+		case errors.Is(err, fencer.ErrLeaseHeld):
+			sleeper.Sleep(ctx, l.options.Lease/fencer.RenewalsPerLease)
 		case err != nil:
 			l.options.Logger.Warn().Err(err).Msg("duties_not_taken")
 			sleeper.Sleep(ctx, failures.NextBackOff())
@@ -158,12 +158,12 @@
 // hold carries out the duties until the term is over or given up.
 func (l *Leader) hold(ctx context.Context, term *fencer.Term) {
 	t := &tenure{Term: term, authority: Authority{Holder: l.options.Node, Number: term.Number, Valid: term.Valid}}
-	if !term.First && !term.Continued {
+	if !term.IsFirst && !term.IsContinuation {
 		t.settled = l.options.Now() + l.options.Lease
 	}
 
 	l.status.begin(term.Number)
-	l.options.Logger.Info().Int64("number", term.Number).Bool("first", term.First).Bool("continued", term.Continued).Msg("duties_taken")
+	l.options.Logger.Info().Int64("number", term.Number).Bool("first", term.IsFirst).Bool("continued", term.IsContinuation).Msg("duties_taken")
 
 	work, cancel := context.WithCancel(ctx)
 
@@ -179,11 +179,11 @@
 		working.Go(func() { l.orderUpstreams(work, t) })
 	}
 
-	for !term.Over() && !l.resting() && !l.options.Leaving() && sleeper.Sleep(work, candidateInterval) {
+	for !term.Ended() && !l.resting() && !l.options.Leaving() && sleeper.Sleep(work, candidateInterval) {
 		l.yieldIfFailing(t)
 	}
 
-	l.options.Logger.Info().Int64("number", term.Number).Bool("lost", term.Over()).Msg("duties_left")
+	l.options.Logger.Info().Int64("number", term.Number).Bool("lost", term.Ended()).Msg("duties_left")
 	term.End()
 	cancel()
 	working.Wait()
@@ -211,7 +211,7 @@
 	}
 
 	// A call that is under way when the term ends could arrive after one of the next holder.
-	ctx, cancel := context.WithTimeout(ctx, min(callTimeout, t.Left()))
+	ctx, cancel := context.WithTimeout(ctx, min(callTimeout, t.Remaining()))
 	defer cancel()
 
 	err := send(ctx)
--- a/internal/gateway/leader/scaling.go
+++ b/internal/gateway/leader/scaling.go
@@ -38,7 +38,7 @@
 	planner := scaler.New()
 	sent := make(map[subject]ordered)
 
-	for ctx.Err() == nil && !t.Over() {
+	for ctx.Err() == nil && !t.Ended() {
 		l.planRound(ctx, t, planner, sent)
 		sleeper.Sleep(ctx, planInterval)
 	}
--- a/internal/gateway/leader/usage.go
+++ b/internal/gateway/leader/usage.go
@@ -26,7 +26,7 @@
 
 // reportUsage collects and reports usage until ctx ends or the term is over.
 func (l *Leader) reportUsage(ctx context.Context, t *tenure) {
-	for ctx.Err() == nil && !t.Over() {
+	for ctx.Err() == nil && !t.Ended() {
 		l.usageRound(ctx, t)
 
 		pause := max(collectInterval, time.Duration(len(l.options.Nodes()))*time.Second/collectRate)
--- a/internal/orderer/handover.go
+++ b/internal/orderer/handover.go
@@ -43,7 +43,7 @@
 	defer cancel()
 
 	result, err := o.options.Store.Txn(call, storer.Txn{
-		Compares: []storer.Compare{{Key: fencer.LeaseKey(servicePrefix(o.options.Service)), Target: storer.TargetValue, Value: t.Record}},
+		Compares: []storer.Compare{{Key: fencer.LeaseKey(servicePrefix(o.options.Service)), Target: storer.TargetValue, Value: t.LeaseValue}},
 		Success:  []storer.Op{{Kind: storer.OpPut, Key: loadsKey(o.options.Service), Value: value}},
 	})
 	if err == nil && !result.Succeeded {
--- a/internal/orderer/orderer.go
+++ b/internal/orderer/orderer.go
@@ -61,8 +61,8 @@
 		bounds := boundsOf(service)
 
 		t, err := o.take(ctx, bounds)
-		if errors.Is(err, fencer.ErrHeld) {
-			sleeper.Sleep(ctx, bounds.Lease/fencer.Renewals)
+		if errors.Is(err, fencer.ErrLeaseHeld) {
+			sleeper.Sleep(ctx, bounds.Lease/fencer.RenewalsPerLease)
 			continue
 		}
 
--- a/internal/orderer/reconciler.go
+++ b/internal/orderer/reconciler.go
@@ -176,7 +176,7 @@
 
 // carryOut sends an order, if the term allows it at this very moment, and reads the state back.
 func (o *Orderer) carryOut(ctx context.Context, t *term, next planned) outcome {
-	left := t.Left()
+	left := t.Remaining()
 	if left <= 0 {
 		o.options.Counters.NotSent.Add(1)
 
--- a/internal/orderer/term.go
+++ b/internal/orderer/term.go
@@ -30,9 +30,9 @@
 	return keyPrefix + service + "/"
 }
 
-// take begins a term. It returns fencer.ErrHeld while another node's lease lasts.
+// take begins a term. It returns fencer.ErrLeaseHeld while another node's lease lasts.
 func (o *Orderer) take(ctx context.Context, bounds configurer.Orders) (*term, error) {
-	taken, err := o.fencer.Take(ctx, bounds.Lease, o.seenFencing)
+	taken, err := o.fencer.Acquire(ctx, bounds.Lease, o.seenFencing)
 	if err != nil {
 		return nil, err
 	}
@@ -48,7 +48,7 @@
 
 	// The lease key is gone, but a store that lost leases, or whose clock leapt, may have
 	// dropped it early: the earlier orderer's own count is what has to run out.
-	t.settled = time.Now().Add(max(t.Former, bounds.Lease) + bounds.LongestPause)
+	t.settled = time.Now().Add(max(t.PreviousLease, bounds.Lease) + bounds.LongestPause)
 
 	return t, nil
 }
