--- a/internal/gateway/collector/account.go
+++ b/internal/gateway/collector/account.go
@@ -62,8 +62,8 @@
 }
 
 // add adds the batches of a node that weren't added before.
-func (a *account) add(node string, answer tallier.CollectAnswer) {
-	known := a.Lives[answer.Life]
+func (a *account) add(node string, answer tallier.CollectResult) {
+	known := a.Lives[answer.Incarnation]
 	known.Node = node
 
 	for _, batch := range answer.Batches {
@@ -86,7 +86,7 @@
 		}
 	}
 
-	a.Lives[answer.Life] = known
+	a.Lives[answer.Incarnation] = known
 }
 
 // close closes the next window.
--- a/internal/gateway/collector/collector.go
+++ b/internal/gateway/collector/collector.go
@@ -129,7 +129,7 @@
 	defer c.mu.Unlock()
 
 	life := c.answers[node].life
-	params := tallier.CollectParams{Life: life, Kept: c.kept.Lives[life].Sequence}
+	params := tallier.CollectParams{Incarnation: life, StoredSequence: c.kept.Lives[life].Sequence}
 
 	if c.timed {
 		params.TimeMS = (c.options.Now() + c.offset).Milliseconds()
@@ -139,22 +139,22 @@
 }
 
 // Take takes in a node's answer to a question that was asked at the given time.
-func (c *Collector) Take(node string, asked time.Duration, told tallier.CollectAnswer) {
+func (c *Collector) Take(node string, asked time.Duration, told tallier.CollectResult) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
 	now := c.options.Now()
 	c.clocks[node] = clock{offset: time.Duration(told.TimeMS)*time.Millisecond - (asked+now)/2, readAt: now}
-	c.answers[node] = answer{life: told.Life, at: asked}
-	c.heard[told.Life] = now
+	c.answers[node] = answer{life: told.Incarnation, at: asked}
+	c.heard[told.Incarnation] = now
 
 	if !c.loaded {
 		return
 	}
 
-	before := c.present.Lives[told.Life].Sequence
+	before := c.present.Lives[told.Incarnation].Sequence
 	c.present.add(node, told)
-	c.changed = c.changed || c.present.Lives[told.Life].Sequence != before
+	c.changed = c.changed || c.present.Lives[told.Incarnation].Sequence != before
 }
 
 // SetTime finds the true time where more than half of so many nodes have told theirs.
--- a/internal/gateway/collector/collector_test.go
+++ b/internal/gateway/collector/collector_test.go
@@ -29,7 +29,7 @@
 	f := &fleet{store: keeper.NewStore(keeper.StoreOptions{}), talliers: make(map[string]*tallier.Tallier)}
 	for _, name := range names {
 		f.talliers[name] = tallier.New(tallier.Options{
-			Life: name + ".1", Window: window, Now: func() time.Duration { return f.now }, TimeOfDay: f.timeOfDay,
+			Incarnation: name + ".1", Window: window, Now: func() time.Duration { return f.now }, TimeOfDay: f.timeOfDay,
 		})
 	}
 
--- a/internal/gateway/duties.go
+++ b/internal/gateway/duties.go
@@ -23,7 +23,7 @@
 const mostCandidates = 4
 
 func (n *Node) newTallier() *tallier.Tallier {
-	options := tallier.Options{Life: strconv.FormatUint(rand.Uint64(), lifeBase), Now: n.catalog.Now, TimeOfDay: time.Now}
+	options := tallier.Options{Incarnation: strconv.FormatUint(rand.Uint64(), lifeBase), Now: n.catalog.Now, TimeOfDay: time.Now}
 
 	if settings := n.settings.Gateway.Duties; settings.ReportsUsage() {
 		options.Window = settings.UsageWindow
--- a/internal/gateway/leader/usage.go
+++ b/internal/gateway/leader/usage.go
@@ -100,7 +100,7 @@
 
 	asked := l.options.Now()
 
-	var answer tallier.CollectAnswer
+	var answer tallier.CollectResult
 
 	if err := l.options.Peers.Call(ctx, node, tallier.MethodCollect, l.usage.Question(node), &answer); err != nil {
 		l.options.Logger.Debug().Err(err).Str("peer", node).Msg("usage_not_collected")
--- a/internal/gateway/leader/world_test.go
+++ b/internal/gateway/leader/world_test.go
@@ -96,7 +96,7 @@
 func (m *machine) begin(ctx context.Context, life string) {
 	p := &process{machine: m, life: life}
 	ctx, p.stop = context.WithCancel(ctx)
-	p.tallier = tallier.New(tallier.Options{Life: life, Window: window, Now: m.sinceStart, TimeOfDay: m.timeOfDay})
+	p.tallier = tallier.New(tallier.Options{Incarnation: life, Window: window, Now: m.sinceStart, TimeOfDay: m.timeOfDay})
 	spot := 0.15
 	services := []cataloguer.Service{{Name: "engines", Scaling: &cataloguer.Scaling{Maximum: 6, SpotPrice: &spot}}}
 	upstreams := []cataloguer.Upstream{{ID: "e", Service: "engines", FailureDomain: "z"}}
--- a/internal/gateway/tallier/tallier.go
+++ b/internal/gateway/tallier/tallier.go
@@ -45,18 +45,18 @@
 
 // CollectParams is a question for a node's batches.
 type CollectParams struct {
-	// Life is the node's life as the asker knows it; empty if it knows none.
-	Life string `json:"life,omitempty"`
-	// Kept is the sequence of that life's last batch that is kept in the store.
-	Kept int64 `json:"kept,omitempty"`
+	// Incarnation is the node's life as the asker knows it; empty if it knows none.
+	Incarnation string `json:"life,omitempty"`
+	// StoredSequence is the sequence of that life's last batch that is kept in the store.
+	StoredSequence int64 `json:"kept,omitempty"`
 	// TimeMS is the true time in Unix milliseconds; 0 if the asker doesn't know it.
 	TimeMS int64 `json:"time_ms,omitempty"`
 }
 
-// CollectAnswer is a node's answer.
-type CollectAnswer struct {
-	// Life names this run of the node's process.
-	Life string `json:"life"`
+// CollectResult is a node's answer.
+type CollectResult struct {
+	// Incarnation names this run of the node's process.
+	Incarnation string `json:"life"`
 	// TimeMS is the node's time of day in Unix milliseconds.
 	TimeMS int64 `json:"time_ms"`
 	// Batches are those that the node doesn't know to be kept, in order.
@@ -65,8 +65,8 @@
 
 // Options are the parts of a Tallier.
 type Options struct {
-	// Life names this run of the node's process; no two runs of any node share it.
-	Life string
+	// Incarnation names this run of the node's process; no two runs of any node share it.
+	Incarnation string
 	// Window is the length of a window; window k begins k times that after the start of 1970. With 0 nothing is counted.
 	Window time.Duration
 	// Now is a clock that counts suspensions and that nobody sets.
@@ -121,7 +121,7 @@
 }
 
 // Collect answers a question.
-func (t *Tallier) Collect(params CollectParams) CollectAnswer {
+func (t *Tallier) Collect(params CollectParams) CollectResult {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 
@@ -130,8 +130,8 @@
 		t.told = true
 	}
 
-	if params.Life == t.options.Life {
-		t.batches = slices.DeleteFunc(t.batches, func(b Batch) bool { return b.Sequence <= params.Kept })
+	if params.Incarnation == t.options.Incarnation {
+		t.batches = slices.DeleteFunc(t.batches, func(b Batch) bool { return b.Sequence <= params.StoredSequence })
 	}
 
 	if len(t.open) > 0 && len(t.batches) < mostBatches {
@@ -140,10 +140,10 @@
 		t.open = make(Counts)
 	}
 
-	return CollectAnswer{
-		Life:    t.options.Life,
-		TimeMS:  t.options.TimeOfDay().UnixMilli(),
-		Batches: slices.Clone(t.batches),
+	return CollectResult{
+		Incarnation: t.options.Incarnation,
+		TimeMS:      t.options.TimeOfDay().UnixMilli(),
+		Batches:     slices.Clone(t.batches),
 	}
 }
 
--- a/internal/gateway/tallier/tallier_test.go
+++ b/internal/gateway/tallier/tallier_test.go
@@ -23,7 +23,7 @@
 
 func newTallier(c *clocks) *tallier.Tallier {
 	return tallier.New(tallier.Options{
-		Life: "l", Window: window, Now: func() time.Duration { return c.now }, TimeOfDay: c.timeOfDay,
+		Incarnation: "l", Window: window, Now: func() time.Duration { return c.now }, TimeOfDay: c.timeOfDay,
 	})
 }
 
@@ -34,18 +34,18 @@
 
 	first := tally.Collect(tallier.CollectParams{})
 	tally.Count("salon", 0)
-	second := tally.Collect(tallier.CollectParams{Life: "l"})
+	second := tally.Collect(tallier.CollectParams{Incarnation: "l"})
 
 	assert.Equal(t, len(first.Batches), 1)
 	assert.Equal(t, len(second.Batches), 2)
 	assert.DeepEqual(t, second.Batches[0], first.Batches[0])
 
-	third := tally.Collect(tallier.CollectParams{Life: "l", Kept: 1})
+	third := tally.Collect(tallier.CollectParams{Incarnation: "l", StoredSequence: 1})
 	assert.DeepEqual(t, third.Batches, second.Batches[1:])
 
 	// Another life's batches say nothing of this one's.
-	assert.DeepEqual(t, tally.Collect(tallier.CollectParams{Life: "before", Kept: 2}).Batches, second.Batches[1:])
-	assert.Equal(t, len(tally.Collect(tallier.CollectParams{Life: "l", Kept: 2}).Batches), 0)
+	assert.DeepEqual(t, tally.Collect(tallier.CollectParams{Incarnation: "before", StoredSequence: 2}).Batches, second.Batches[1:])
+	assert.Equal(t, len(tally.Collect(tallier.CollectParams{Incarnation: "l", StoredSequence: 2}).Batches), 0)
 }
 
 // Guards against counts in the wrong window after the time of day was set.
