--- a/internal/gateway/collector/account.go
+++ b/internal/gateway/collector/account.go
@@ -21,8 +21,8 @@
 	Window int64 `json:"window"`
 	// Counts are the requests that began to run, by organisation; nil once it is sent.
 	Counts map[string]int64 `json:"counts,omitempty"`
-	// Sent says that the platform accepted it.
-	Sent bool `json:"sent,omitempty"`
+	// Reported says that the platform accepted it.
+	Reported bool `json:"sent,omitempty"`
 }
 
 // account is what was collected and reported. It is kept in the store as a whole, and written only in the place of the
@@ -101,7 +101,7 @@
 	a.Next++
 
 	for len(a.Reports) > mostReports {
-		if !a.Reports[0].Sent {
+		if !a.Reports[0].Reported {
 			a.Missed++
 		}
 
@@ -113,7 +113,7 @@
 func (a *account) markSent(window int64) {
 	for i := range a.Reports {
 		if a.Reports[i].Window == window {
-			a.Reports[i].Sent, a.Reports[i].Counts = true, nil
+			a.Reports[i].Reported, a.Reports[i].Counts = true, nil
 		}
 	}
 }
@@ -123,7 +123,7 @@
 	var due []Report
 
 	for _, report := range a.Reports {
-		if !report.Sent {
+		if !report.Reported {
 			due = append(due, report)
 		}
 	}
--- a/internal/gateway/collector/collector.go
+++ b/internal/gateway/collector/collector.go
@@ -33,8 +33,8 @@
 	lifeTime = time.Minute
 )
 
-// ErrReplaced means that another node has written the account since it was read.
-var ErrReplaced = errors.New("the account of usage was written by another node")
+// ErrConflict means that another node has written the account since it was read.
+var ErrConflict = errors.New("the account of usage was written by another node")
 
 // Store keeps the account. Its errors are those of package storer.
 type Store interface {
@@ -45,8 +45,8 @@
 // Options are the parts of a Collector; all are required.
 type Options struct {
 	Store Store
-	// Window is the length of a window, Due how long after its end its report is due.
-	Window, Due time.Duration
+	// Window is the length of a window, ReportDeadline how long after its end its report is due.
+	Window, ReportDeadline time.Duration
 	// Now is a clock that counts suspensions and that nobody sets.
 	Now func() time.Duration
 }
@@ -123,8 +123,8 @@
 	return nil
 }
 
-// Question returns what a node is to be asked.
-func (c *Collector) Question(node string) tallier.CollectParams {
+// CollectParams returns what a node is to be asked.
+func (c *Collector) CollectParams(node string) tallier.CollectParams {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
@@ -138,8 +138,8 @@
 	return params
 }
 
-// Take takes in a node's answer to a question that was asked at the given time.
-func (c *Collector) Take(node string, asked time.Duration, told tallier.CollectResult) {
+// AddResult takes in a node's answer to a question that was asked at the given time.
+func (c *Collector) AddResult(node string, asked time.Duration, told tallier.CollectResult) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
@@ -157,8 +157,8 @@
 	c.changed = c.changed || c.present.Lives[told.Incarnation].Sequence != before
 }
 
-// SetTime finds the true time where more than half of so many nodes have told theirs.
-func (c *Collector) SetTime(nodes int) {
+// UpdateTime finds the true time where more than half of so many nodes have told theirs.
+func (c *Collector) UpdateTime(nodes int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
@@ -175,8 +175,8 @@
 	}
 }
 
-// Close closes the windows of which all is known, or for which no more can be waited.
-func (c *Collector) Close() {
+// CloseWindows closes the windows of which all is known, or for which no more can be waited.
+func (c *Collector) CloseWindows() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
@@ -197,7 +197,7 @@
 		end := time.Duration(c.present.Next+1) * c.options.Window
 		settled := end + settleTime
 
-		if truth < settled || c.awaitsLocked(now, settled-c.offset) && truth < end+time.Duration(waitPart*float64(c.options.Due)) {
+		if truth < settled || c.awaitsLocked(now, settled-c.offset) && truth < end+time.Duration(waitPart*float64(c.options.ReportDeadline)) {
 			break
 		}
 
@@ -217,8 +217,8 @@
 	return false
 }
 
-// Deadline is how long from now the next window's last counts can be asked for; false before the true time is known.
-func (c *Collector) Deadline() (time.Duration, bool) {
+// UntilSettled is how long from now the next window's last counts can be asked for; false before the true time is known.
+func (c *Collector) UntilSettled() (time.Duration, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
@@ -266,7 +266,7 @@
 	case err != nil:
 		return err
 	case !result.Succeeded:
-		return ErrReplaced
+		return ErrConflict
 	}
 
 	c.mu.Lock()
@@ -304,8 +304,8 @@
 	return c.loaded
 }
 
-// Due returns the reports that are written down and not known to be accepted, oldest first.
-func (c *Collector) Due() []Report {
+// PendingReports returns the reports that are written down and not known to be accepted, oldest first.
+func (c *Collector) PendingReports() []Report {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
@@ -316,8 +316,8 @@
 	return c.kept.due()
 }
 
-// Sent notes that the platform accepted a window's report.
-func (c *Collector) Sent(window int64) {
+// MarkReported notes that the platform accepted a window's report.
+func (c *Collector) MarkReported(window int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
@@ -330,11 +330,11 @@
 type Status struct {
 	// LastReported is the last window that the platform accepted; 0 if none is known.
 	LastReported int64 `json:"last_reported"`
-	// Due is the number of closed windows that it hasn't accepted.
-	Due int `json:"due"`
-	// Missed counts windows given up, Late the requests that came to be known after their window was closed.
-	Missed int64 `json:"missed"`
-	Late   int64 `json:"late"`
+	// PendingReports is the number of closed windows that it hasn't accepted.
+	PendingReports int `json:"due"`
+	// MissedWindows counts windows given up, LateRequests the requests that came to be known after their window was closed.
+	MissedWindows int64 `json:"missed"`
+	LateRequests  int64 `json:"late"`
 }
 
 // Status returns the present state.
@@ -342,10 +342,10 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
-	status := Status{Due: len(c.kept.due()), Missed: c.kept.Missed, Late: c.kept.Late}
+	status := Status{PendingReports: len(c.kept.due()), MissedWindows: c.kept.Missed, LateRequests: c.kept.Late}
 
 	for _, report := range c.kept.Reports {
-		if report.Sent {
+		if report.Reported {
 			status.LastReported = report.Window
 		}
 	}
--- a/internal/gateway/collector/collector_test.go
+++ b/internal/gateway/collector/collector_test.go
@@ -44,7 +44,7 @@
 	t.Helper()
 
 	c := collector.New(collector.Options{
-		Store: keeper.NewLocal(f.store, nil), Window: window, Due: due, Now: func() time.Duration { return f.now },
+		Store: keeper.NewLocal(f.store, nil), Window: window, ReportDeadline: due, Now: func() time.Duration { return f.now },
 	})
 	assert.NilError(t, c.Load(t.Context()))
 
@@ -56,11 +56,11 @@
 	t.Helper()
 
 	for _, name := range names {
-		c.Take(name, f.now, f.talliers[name].Collect(c.Question(name)))
+		c.AddResult(name, f.now, f.talliers[name].Collect(c.CollectParams(name)))
 	}
 
-	c.SetTime(len(f.talliers))
-	c.Close()
+	c.UpdateTime(len(f.talliers))
+	c.CloseWindows()
 
 	return c.Save(t.Context())
 }
@@ -74,16 +74,16 @@
 
 	f.now = window + time.Second
 	assert.NilError(t, f.round(t, c, "a", "b"))
-	assert.Equal(t, len(c.Due()), 0)
+	assert.Equal(t, len(c.PendingReports()), 0)
 
 	f.now = window + 3*time.Second
 	assert.NilError(t, f.round(t, c, "a", "b", "c"))
-	assert.DeepEqual(t, c.Due(), []collector.Report{{Window: first, Counts: map[string]int64{"salon": 1}}})
-	c.Sent(first)
+	assert.DeepEqual(t, c.PendingReports(), []collector.Report{{Window: first, Counts: map[string]int64{"salon": 1}}})
+	c.MarkReported(first)
 
 	f.now = 2*window + 7*time.Second
 	assert.NilError(t, f.round(t, c, "a", "b"))
-	assert.DeepEqual(t, c.Due(), []collector.Report{{Window: first + 1, Counts: map[string]int64{}}})
+	assert.DeepEqual(t, c.PendingReports(), []collector.Report{{Window: first + 1, Counts: map[string]int64{}}})
 }
 
 // Guards against a window that two nodes close with different counts.
@@ -95,13 +95,13 @@
 	f.talliers["b"].Count("salon", 0)
 
 	f.now = window + time.Second
-	assert.ErrorIs(t, f.round(t, other, "a"), collector.ErrReplaced)
-	assert.Equal(t, len(other.Due()), 0)
+	assert.ErrorIs(t, f.round(t, other, "a"), collector.ErrConflict)
+	assert.Equal(t, len(other.PendingReports()), 0)
 	assert.NilError(t, f.round(t, one, "a", "b"))
 
 	assert.NilError(t, other.Load(t.Context()))
-	assert.DeepEqual(t, other.Due(), one.Due())
-	assert.DeepEqual(t, one.Due(), []collector.Report{{Window: first, Counts: map[string]int64{"salon": 2}}})
+	assert.DeepEqual(t, other.PendingReports(), one.PendingReports())
+	assert.DeepEqual(t, one.PendingReports(), []collector.Report{{Window: first, Counts: map[string]int64{"salon": 2}}})
 }
 
 // Guards against true time by one clock, or by fewer clocks than half.
@@ -110,11 +110,11 @@
 	c := f.collector(t)
 	assert.NilError(t, f.round(t, c, "a", "b"))
 
-	_, known := c.Deadline()
+	_, known := c.UntilSettled()
 	assert.Assert(t, !known)
 
 	assert.NilError(t, f.round(t, c, "a", "b", "c"))
 
-	_, known = c.Deadline()
+	_, known = c.UntilSettled()
 	assert.Assert(t, known)
 }
--- a/internal/gateway/leader/leader.go
+++ b/internal/gateway/leader/leader.go
@@ -105,7 +105,7 @@
 			CallTimeout: storeTimeout, Now: options.Now,
 		}),
 		usage: collector.New(collector.Options{
-			Store: options.Store, Window: options.Window, Due: options.Due, Now: options.Now,
+			Store: options.Store, Window: options.Window, ReportDeadline: options.Due, Now: options.Now,
 		}),
 		limit: rate.NewLimiter(rate.Limit(options.CallsPerSecond*ratePart), 1),
 	}
--- a/internal/gateway/leader/usage.go
+++ b/internal/gateway/leader/usage.go
@@ -30,7 +30,7 @@
 		l.usageRound(ctx, t)
 
 		pause := max(collectInterval, time.Duration(len(l.options.Nodes()))*time.Second/collectRate)
-		if left, known := l.usage.Deadline(); known {
+		if left, known := l.usage.UntilSettled(); known {
 			pause = max(min(pause, left), leastPause)
 		}
 
@@ -47,14 +47,14 @@
 
 	nodes := l.options.Nodes()
 	l.collect(ctx, nodes)
-	l.usage.SetTime(len(nodes))
-	l.usage.Close()
+	l.usage.UpdateTime(len(nodes))
+	l.usage.CloseWindows()
 
 	if err := l.withStore(ctx, l.usage.Save); err != nil {
 		l.options.Logger.Warn().Err(err).Msg("usage_not_kept")
 	}
 
-	for _, report := range l.usage.Due() {
+	for _, report := range l.usage.PendingReports() {
 		err := l.call(ctx, t, func(ctx context.Context) error {
 			return l.options.Platform.ReportUsage(ctx, t.authority, report.Window, report.Counts)
 		})
@@ -66,7 +66,7 @@
 			return
 		}
 
-		l.usage.Sent(report.Window)
+		l.usage.MarkReported(report.Window)
 		l.options.Logger.Info().Int64("window", report.Window).Int("organisations", len(report.Counts)).
 			Int64("number", t.Number).Msg("usage_reported")
 	}
@@ -102,11 +102,11 @@
 
 	var answer tallier.CollectResult
 
-	if err := l.options.Peers.Call(ctx, node, tallier.MethodCollect, l.usage.Question(node), &answer); err != nil {
+	if err := l.options.Peers.Call(ctx, node, tallier.MethodCollect, l.usage.CollectParams(node), &answer); err != nil {
 		l.options.Logger.Debug().Err(err).Str("peer", node).Msg("usage_not_collected")
 
 		return
 	}
 
-	l.usage.Take(node, asked, answer)
+	l.usage.AddResult(node, asked, answer)
 }
--- a/internal/query/duty/show/show.go
+++ b/internal/query/duty/show/show.go
@@ -79,7 +79,7 @@
 		{"number", strconv.FormatInt(s.Number, 10)},
 		{"since", since(s.Since)},
 		{"last window reported", strconv.FormatInt(s.Usage.LastReported, 10)},
-		{"windows due, missed", fmt.Sprintf("%d, %d", s.Usage.Due, s.Usage.Missed)},
+		{"windows due, missed", fmt.Sprintf("%d, %d", s.Usage.PendingReports, s.Usage.MissedWindows)},
 	}
 
 	for _, p := range s.Pools {
