--- a/internal/gateway/duties.go
+++ b/internal/gateway/duties.go
@@ -70,7 +70,7 @@
 	settings := n.current.Load().Gateway.Duties
 
 	return scaler.Policy{
-		Regular: settings.RegularUpstreams, MostPart: settings.MostPart, LeastPart: settings.LeastPart,
+		MinRegular: settings.RegularUpstreams, MaxFraction: settings.MostPart, MinFraction: settings.LeastPart,
 	}, settings.OrderUpstreams
 }
 
--- a/internal/gateway/leader/scaling.go
+++ b/internal/gateway/leader/scaling.go
@@ -53,7 +53,7 @@
 		return
 	}
 
-	standing := scaler.Count(state.Configuration.Services, state.Registry.Upstreams)
+	standing := scaler.CountUpstreams(state.Configuration.Services, state.Registry.Upstreams)
 	orders := planner.Plan(policy, state.Configuration.Services, standing)
 	l.status.plan(standing, orders)
 
@@ -63,7 +63,7 @@
 }
 
 // order sends an order unless it holds already.
-func (l *Leader) order(ctx context.Context, t *tenure, sent map[subject]ordered, order scaler.Order, standing scaler.Standing) {
+func (l *Leader) order(ctx context.Context, t *tenure, sent map[subject]ordered, order scaler.Order, standing scaler.PoolSize) {
 	about := subject{Pool: order.Pool, spot: order.Spot}
 
 	last, known := sent[about]
@@ -93,5 +93,5 @@
 
 	line.AnErr("reason", err).Str("service", order.Service).Str("failure_domain", order.FailureDomain).
 		Bool("spot", order.Spot).Int("count", order.Count).Int("regular", standing.Regular).Int("spot_standing", standing.Spot).
-		Int("leaving", standing.Leaving).Int64("number", t.Number).Msg("upstreams_ordered")
+		Int("leaving", standing.Draining).Int64("number", t.Number).Msg("upstreams_ordered")
 }
--- a/internal/gateway/leader/status.go
+++ b/internal/gateway/leader/status.go
@@ -25,7 +25,7 @@
 // PoolStatus is a service in a failure domain.
 type PoolStatus struct {
 	scaler.Pool
-	scaler.Standing
+	scaler.PoolSize
 
 	// OrderedRegular and OrderedSpot are the numbers that should stand; negative where none is ordered.
 	OrderedRegular int `json:"ordered_regular"`
@@ -53,13 +53,13 @@
 	s.present.Holds, s.present.Pools = false, nil
 }
 
-func (s *status) plan(standing map[scaler.Pool]scaler.Standing, orders []scaler.Order) {
+func (s *status) plan(standing map[scaler.Pool]scaler.PoolSize, orders []scaler.Order) {
 	var pools []PoolStatus
 
 	for _, order := range orders {
 		last := len(pools) - 1
 		if last < 0 || pools[last].Pool != order.Pool {
-			pools = append(pools, PoolStatus{Pool: order.Pool, Standing: standing[order.Pool], OrderedRegular: -1, OrderedSpot: -1})
+			pools = append(pools, PoolStatus{Pool: order.Pool, PoolSize: standing[order.Pool], OrderedRegular: -1, OrderedSpot: -1})
 			last++
 		}
 
--- a/internal/gateway/leader/world_test.go
+++ b/internal/gateway/leader/world_test.go
@@ -113,7 +113,7 @@
 		Nodes:     m.names,
 		State:     func() *cataloguer.State { return state },
 		Lease:     lease, CallsPerSecond: 50, Window: window, Due: due, Scales: true,
-		Policy: func() (scaler.Policy, bool) { return scaler.Policy{MostPart: 1}, true },
+		Policy: func() (scaler.Policy, bool) { return scaler.Policy{MaxFraction: 1}, true },
 		Now:    m.sinceStart, Logger: zerolog.Nop(),
 	})
 
--- a/internal/gateway/scaler/scaler.go
+++ b/internal/gateway/scaler/scaler.go
@@ -25,22 +25,22 @@
 	Count int `json:"count"`
 }
 
-// Standing are the upstreams of a pool that serve and don't leave.
-type Standing struct {
+// PoolSize are the upstreams of a pool that serve and don't leave.
+type PoolSize struct {
 	Regular int `json:"regular"`
 	Spot    int `json:"spot"`
-	// Leaving counts those that serve and leave, of both kinds.
-	Leaving int `json:"leaving"`
+	// Draining counts those that serve and leave, of both kinds.
+	Draining int `json:"leaving"`
 }
 
-// Count returns what stands of the services that can be scaled.
-func Count(services []cataloguer.Service, upstreams []cataloguer.Upstream) map[Pool]Standing {
+// CountUpstreams returns what stands of the services that can be scaled.
+func CountUpstreams(services []cataloguer.Service, upstreams []cataloguer.Upstream) map[Pool]PoolSize {
 	scaled := make(map[string]bool)
 	for _, s := range services {
 		scaled[s.Name] = s.Scaling != nil
 	}
 
-	standing := make(map[Pool]Standing)
+	standing := make(map[Pool]PoolSize)
 
 	for _, u := range upstreams {
 		if !scaled[u.Service] {
@@ -52,7 +52,7 @@
 
 		switch {
 		case u.Draining:
-			s.Leaving++
+			s.Draining++
 		case u.Spot:
 			s.Spot++
 		default:
@@ -67,13 +67,13 @@
 
 // Policy says what a planner keeps.
 type Policy struct {
-	// Regular is the number of regular upstreams to keep in each pool beside spot ones.
-	Regular int
-	// MostPart is the part of a pool's maximum that is ordered, 0 to 1, but not less than the regular upstreams that stood there.
-	MostPart float64
-	// LeastPart is the part of a service's maximum over all failure domains that is to stand, 0 to 1. Where spot upstreams
+	// MinRegular is the number of regular upstreams to keep in each pool beside spot ones.
+	MinRegular int
+	// MaxFraction is the part of a pool's maximum that is ordered, 0 to 1, but not less than the regular upstreams that stood there.
+	MaxFraction float64
+	// MinFraction is the part of a service's maximum over all failure domains that is to stand, 0 to 1. Where spot upstreams
 	// are taken away, regular ones are ordered up to it.
-	LeastPart float64
+	MinFraction float64
 }
 
 // Planner plans the orders of one holder of the duty. It is not safe for concurrent use.
@@ -92,7 +92,7 @@
 }
 
 // Plan returns the orders that should hold now, in the order of their pools.
-func (p *Planner) Plan(policy Policy, services []cataloguer.Service, standing map[Pool]Standing) []Order {
+func (p *Planner) Plan(policy Policy, services []cataloguer.Service, standing map[Pool]PoolSize) []Order {
 	var orders []Order
 
 	p.policy = policy
@@ -130,7 +130,7 @@
 	return pools
 }
 
-func (p *Planner) planService(service cataloguer.Service, standing map[Pool]Standing) []Order {
+func (p *Planner) planService(service cataloguer.Service, standing map[Pool]PoolSize) []Order {
 	var orders []Order
 
 	limits := *service.Scaling
@@ -153,7 +153,7 @@
 			orders = append(orders, Order{Pool: pool, Count: regular})
 		}
 
-		most := max(int(math.Ceil(p.policy.MostPart*float64(limits.Maximum))), p.regular[pool])
+		most := max(int(math.Ceil(p.policy.MaxFraction*float64(limits.Maximum))), p.regular[pool])
 		room := limits.Maximum - max(regular, s.Regular)
 		orders = append(orders, Order{Pool: pool, Spot: true, Count: max(min(room, most-p.base(limits)), 0)})
 	}
@@ -163,18 +163,18 @@
 
 // base is the number of regular upstreams that a pool keeps in any case.
 func (p *Planner) base(limits cataloguer.Scaling) int {
-	return max(min(p.policy.Regular, limits.Maximum), limits.Minimum)
+	return max(min(p.policy.MinRegular, limits.Maximum), limits.Minimum)
 }
 
 // hasMoved says whether spot upstreams stand in the place of a pool's regular ones.
-func (p *Planner) hasMoved(pool Pool, limits cataloguer.Scaling, s Standing) bool {
+func (p *Planner) hasMoved(pool Pool, limits cataloguer.Scaling, s PoolSize) bool {
 	p.moved[pool] = p.moved[pool] || s.Spot >= p.regular[pool]-p.base(limits)
 
 	return p.moved[pool]
 }
 
 // missing is how many regular upstreams beyond the base ones are needed so that enough stand.
-func (p *Planner) missing(pools []Pool, limits cataloguer.Scaling, standing map[Pool]Standing) int {
+func (p *Planner) missing(pools []Pool, limits cataloguer.Scaling, standing map[Pool]PoolSize) int {
 	stands := 0
 
 	for _, pool := range pools {
@@ -186,5 +186,5 @@
 		stands += p.base(limits) + standing[pool].Spot
 	}
 
-	return max(int(math.Ceil(p.policy.LeastPart*float64(limits.Maximum*len(pools))))-stands, 0)
+	return max(int(math.Ceil(p.policy.MinFraction*float64(limits.Maximum*len(pools))))-stands, 0)
 }
--- a/internal/gateway/scaler/scaler_test.go
+++ b/internal/gateway/scaler/scaler_test.go
@@ -15,7 +15,7 @@
 	planner  *scaler.Planner
 	policy   scaler.Policy
 	services []cataloguer.Service
-	standing map[scaler.Pool]scaler.Standing
+	standing map[scaler.Pool]scaler.PoolSize
 	dry      bool
 }
 
@@ -27,11 +27,11 @@
 		services: []cataloguer.Service{{Name: "engines", Scaling: &cataloguer.Scaling{
 			Minimum: 1, Maximum: 60, SpotPrice: &spot, DomainPrices: map[string]float64{"a": 0.85, "b": 1.2, "c": 1},
 		}}, {Name: "calls"}},
-		standing: make(map[scaler.Pool]scaler.Standing),
+		standing: make(map[scaler.Pool]scaler.PoolSize),
 	}
 
 	for _, domain := range []string{"a", "b", "c"} {
-		m.standing[pool(domain)] = scaler.Standing{Regular: regular}
+		m.standing[pool(domain)] = scaler.PoolSize{Regular: regular}
 	}
 
 	return m
@@ -56,7 +56,7 @@
 		}
 
 		assert.Assert(t, s.Regular+s.Spot <= 60, "%s: %+v", order.FailureDomain, s)
-		s.Leaving = 0
+		s.Draining = 0
 		m.standing[order.Pool] = s
 	}
 
@@ -74,33 +74,33 @@
 
 // Guards against a moment with fewer upstreams than before while regular ones are replaced by spot ones.
 func TestReplacementKeepsWhatStands(t *testing.T) {
-	m := newMarket(scaler.Policy{Regular: 1, MostPart: 1, LeastPart: 0.5}, 30)
+	m := newMarket(scaler.Policy{MinRegular: 1, MaxFraction: 1, MinFraction: 0.5}, 30)
 
 	for range 6 {
 		assert.Assert(t, m.step(t) >= 90)
 	}
 
 	for _, s := range m.standing {
-		assert.Equal(t, s, scaler.Standing{Regular: 1, Spot: 59})
+		assert.Equal(t, s, scaler.PoolSize{Regular: 1, Spot: 59})
 	}
 }
 
 // Load: the spot upstreams of two of three failure domains are taken away at once, and no others are to be had. Guards
 // against a service that stays without them for as long.
 func TestRegularUpstreamsReplaceReclaimedOnes(t *testing.T) {
-	m := newMarket(scaler.Policy{Regular: 1, MostPart: 1, LeastPart: 0.5}, 30)
+	m := newMarket(scaler.Policy{MinRegular: 1, MaxFraction: 1, MinFraction: 0.5}, 30)
 
 	for range 6 {
 		m.step(t)
 	}
 
 	m.dry = true
-	m.standing[pool("b")] = scaler.Standing{Regular: 1, Leaving: 59}
+	m.standing[pool("b")] = scaler.PoolSize{Regular: 1, Draining: 59}
 	m.step(t)
 	assert.Equal(t, m.total(), 121)
 	assert.Equal(t, m.standing[pool("b")].Regular, 1)
 
-	m.standing[pool("a")] = scaler.Standing{Regular: 1, Leaving: 59}
+	m.standing[pool("a")] = scaler.PoolSize{Regular: 1, Draining: 59}
 	m.step(t)
 	assert.Equal(t, m.total(), 90)
 	// The cheapest failure domain takes them.
@@ -112,7 +112,7 @@
 	}
 
 	for _, s := range m.standing {
-		assert.Equal(t, s, scaler.Standing{Regular: 1, Spot: 59})
+		assert.Equal(t, s, scaler.PoolSize{Regular: 1, Spot: 59})
 	}
 }
 
@@ -120,7 +120,7 @@
 func TestNewPlannerStartsFromWhatStands(t *testing.T) {
 	for regular := range 61 {
 		t.Run(fmt.Sprint(regular), func(t *testing.T) {
-			m := newMarket(scaler.Policy{Regular: 1, MostPart: 1, LeastPart: 0.5}, regular)
+			m := newMarket(scaler.Policy{MinRegular: 1, MaxFraction: 1, MinFraction: 0.5}, regular)
 			before := m.total()
 
 			for range 6 {
@@ -133,5 +133,5 @@
 func TestServicesThatCantBeScaledAreLeftAlone(t *testing.T) {
 	upstreams := []cataloguer.Upstream{{Service: "calls", FailureDomain: "a"}, {Service: "engines", FailureDomain: "a", Spot: true}}
 	m := newMarket(scaler.Policy{}, 0)
-	assert.DeepEqual(t, scaler.Count(m.services, upstreams), map[scaler.Pool]scaler.Standing{pool("a"): {Spot: 1}})
+	assert.DeepEqual(t, scaler.CountUpstreams(m.services, upstreams), map[scaler.Pool]scaler.PoolSize{pool("a"): {Spot: 1}})
 }
--- a/internal/query/duty/show/show.go
+++ b/internal/query/duty/show/show.go
@@ -86,7 +86,7 @@
 		rows = append(rows, []string{
 			p.Service + " in " + p.FailureDomain,
 			fmt.Sprintf("%s of %s regular, %d of %d spot, %d leaving",
-				strconv.Itoa(p.Regular), ordered(p.OrderedRegular), p.Spot, p.OrderedSpot, p.Leaving),
+				strconv.Itoa(p.Regular), ordered(p.OrderedRegular), p.Spot, p.OrderedSpot, p.Draining),
 		})
 	}
 
