--- a/internal/gateway/duties.go
+++ b/internal/gateway/duties.go
@@ -46,8 +46,8 @@
 		Store:          parts.Store,
 		Platform:       parts.Platform,
 		Peers:          n.messages,
-		Candidate:      n.isCandidate,
-		Leaving:        func() bool { return n.leaving() > 0 },
+		IsCandidate:    n.isCandidate,
+		IsLeaving:      func() bool { return n.leaving() > 0 },
 		Nodes:          n.answering,
 		State:          n.catalog.State,
 		Lease:          settings.Lease,
@@ -59,7 +59,7 @@
 	}
 
 	if settings.ReportsUsage() {
-		options.Window, options.Due = settings.UsageWindow, settings.UsageDue
+		options.Window, options.ReportDeadline = settings.UsageWindow, settings.UsageDue
 	}
 
 	n.leader = leader.New(options)
--- a/internal/gateway/leader/leader.go
+++ b/internal/gateway/leader/leader.go
@@ -62,10 +62,10 @@
 	Store                   fencer.Store
 	Platform                Platform
 	Peers                   Peers
-	// Candidate says whether this node should take the duties if nobody holds them. It only avoids contention.
-	Candidate func() bool
-	// Leaving says that the node stops; it gives the duties up then.
-	Leaving func() bool
+	// IsCandidate says whether this node should take the duties if nobody holds them. It only avoids contention.
+	IsCandidate func() bool
+	// IsLeaving says that the node stops; it gives the duties up then.
+	IsLeaving func() bool
 	// Nodes returns the names of the nodes that may answer, those that leave among them.
 	Nodes func() []string
 	State func() *cataloguer.State
@@ -73,9 +73,9 @@
 	Lease time.Duration
 	// CallsPerSecond is what the platform accepts from all nodes together.
 	CallsPerSecond float64
-	// Window is the length of a window of usage, Due how long after its end its report is due. No usage is reported if
+	// Window is the length of a window of usage, ReportDeadline how long after its end its report is due. No usage is reported if
 	// Window is 0.
-	Window, Due time.Duration
+	Window, ReportDeadline time.Duration
 	// Scales says that the platform takes orders of upstreams.
 	Scales bool
 	// Policy returns what is to be kept; false while nothing shall be ordered.
@@ -105,7 +105,7 @@
 			CallTimeout: storeTimeout, Now: options.Now,
 		}),
 		usage: collector.New(collector.Options{
-			Store: options.Store, Window: options.Window, ReportDeadline: options.Due, Now: options.Now,
+			Store: options.Store, Window: options.Window, ReportDeadline: options.ReportDeadline, Now: options.Now,
 		}),
 		limit: rate.NewLimiter(rate.Limit(options.CallsPerSecond*ratePart), 1),
 	}
@@ -117,7 +117,7 @@
 	failures.InitialInterval, failures.MaxInterval = firstDelay, longestDelay
 
 	for ctx.Err() == nil {
-		if l.resting() || !l.options.Candidate() {
+		if l.resting() || !l.options.IsCandidate() {
 			sleeper.Sleep(ctx, candidateInterval)
 
 			continue
@@ -179,7 +179,7 @@
 		working.Go(func() { l.orderUpstreams(work, t) })
 	}
 
-	for !term.Ended() && !l.resting() && !l.options.Leaving() && sleeper.Sleep(work, candidateInterval) {
+	for !term.Ended() && !l.resting() && !l.options.IsLeaving() && sleeper.Sleep(work, candidateInterval) {
 		l.yieldIfFailing(t)
 	}
 
