--- a/internal/gateway/acceptor/acceptor.go
+++ b/internal/gateway/acceptor/acceptor.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// Times are the operators' bounds of a connection, both above zero.
-type Times struct {
+// Timeouts are the operators' bounds of a connection, both above zero.
+type Timeouts struct {
 	// Header is the time from the first byte of a request to the end of its header.
 	Header time.Duration
 	// Idle is the time for which a connection may rest before its first byte and between two requests.
@@ -28,9 +28,9 @@
 	// ClosedIdle and ClosedHeader were closed because a time was over.
 	ClosedIdle   int64 `json:"closed_idle"`
 	ClosedHeader int64 `json:"closed_header"`
-	// ClosedForRoom rested and made room for new ones; Turned away were closed at once since none rested.
-	ClosedForRoom int64 `json:"closed_for_room"`
-	TurnedAway    int64 `json:"turned_away"`
+	// Evicted rested and made room for new ones; Rejected were closed at once since none rested.
+	Evicted  int64 `json:"closed_for_room"`
+	Rejected int64 `json:"turned_away"`
 }
 
 // Acceptor follows the connections of one http.Server. It is safe for concurrent use.
@@ -39,7 +39,7 @@
 type Acceptor struct {
 	// most is the largest number of connections.
 	most  int
-	times func() Times
+	times func() Timeouts
 
 	mu          sync.Mutex
 	connections map[*connection]struct{}
@@ -93,8 +93,8 @@
 	return nil
 }
 
-// New returns an acceptor of so many connections at most. Times tells the bounds in force.
-func New(most int, times func() Times) *Acceptor {
+// New returns an acceptor of so many connections at most. times tells the bounds in force.
+func New(most int, times func() Timeouts) *Acceptor {
 	return &Acceptor{most: most, times: times, connections: make(map[*connection]struct{}), resting: list.New()}
 }
 
@@ -176,7 +176,7 @@
 	closing := a.makeRoom()
 	if closing == nil && len(a.connections) >= a.most {
 		closing = c
-		a.counters.TurnedAway++
+		a.counters.Rejected++
 	}
 
 	if closing != c {
@@ -203,7 +203,7 @@
 
 	c, _ := oldest.Value.(*connection)
 	a.drop(c)
-	a.counters.ClosedForRoom++
+	a.counters.Evicted++
 
 	return c
 }
--- a/internal/gateway/acceptor/acceptor_test.go
+++ b/internal/gateway/acceptor/acceptor_test.go
@@ -43,12 +43,12 @@
 }
 
 // serve runs a server that answers each request after the time that its path asks for.
-func serve(t *testing.T, most int, run func(*testing.T, pipes, *acceptor.Acceptor, *acceptor.Times)) {
+func serve(t *testing.T, most int, run func(*testing.T, pipes, *acceptor.Acceptor, *acceptor.Timeouts)) {
 	t.Helper()
 
 	synctest.Test(t, func(t *testing.T) {
-		times := &acceptor.Times{Header: headerTime, Idle: idleTime}
-		a := acceptor.New(most, func() acceptor.Times { return *times })
+		times := &acceptor.Timeouts{Header: headerTime, Idle: idleTime}
+		a := acceptor.New(most, func() acceptor.Timeouts { return *times })
 		server := &http.Server{Handler: http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 			if wait, err := time.ParseDuration(r.URL.Path[1:]); err == nil {
 				time.Sleep(wait)
@@ -95,7 +95,7 @@
 // Symptom: callers that use a connection again within the operators' idle time find it closed.
 // Cause: the server closed after a time of its own.
 func TestRestingConnectionsStayForTheOperatorsTime(t *testing.T) {
-	serve(t, 10, func(t *testing.T, listener pipes, a *acceptor.Acceptor, times *acceptor.Times) {
+	serve(t, 10, func(t *testing.T, listener pipes, a *acceptor.Acceptor, times *acceptor.Timeouts) {
 		times.Idle = 2 * time.Minute
 
 		c := listener.open()
@@ -111,7 +111,7 @@
 // Symptom: a caller that sends its header byte by byte holds a connection for as long as it likes.
 // Sequence: the first byte comes, the rest doesn't.
 func TestSlowHeaderIsCut(t *testing.T) {
-	serve(t, 10, func(t *testing.T, listener pipes, a *acceptor.Acceptor, _ *acceptor.Times) {
+	serve(t, 10, func(t *testing.T, listener pipes, a *acceptor.Acceptor, _ *acceptor.Timeouts) {
 		c := listener.open()
 		_, err := io.WriteString(c, "GET / HTTP/1.1\r\n")
 		assert.NilError(t, err)
@@ -123,7 +123,7 @@
 
 // A request may last longer than both times: its own limit holds for it.
 func TestRunningRequestIsNotCut(t *testing.T) {
-	serve(t, 10, func(t *testing.T, listener pipes, _ *acceptor.Acceptor, _ *acceptor.Times) {
+	serve(t, 10, func(t *testing.T, listener pipes, _ *acceptor.Acceptor, _ *acceptor.Timeouts) {
 		assert.NilError(t, ask(t, listener.open(), "/1m"))
 	})
 }
@@ -132,7 +132,7 @@
 // Sequence: callers keep as many connections as the process has descriptors.
 // Cause: nothing bounded them.
 func TestConnectionThatRestsLongestMakesRoom(t *testing.T) {
-	serve(t, 2, func(t *testing.T, listener pipes, a *acceptor.Acceptor, _ *acceptor.Times) {
+	serve(t, 2, func(t *testing.T, listener pipes, a *acceptor.Acceptor, _ *acceptor.Timeouts) {
 		first, second := listener.open(), listener.open()
 		assert.NilError(t, ask(t, first, "/"))
 		time.Sleep(time.Second)
@@ -142,13 +142,13 @@
 		assert.NilError(t, ask(t, third, "/"))
 		assert.Assert(t, closed(t, first))
 		assert.Assert(t, !closed(t, second))
-		assert.Equal(t, a.Counters(), acceptor.Counters{Open: 2, ClosedForRoom: 1})
+		assert.Equal(t, a.Counters(), acceptor.Counters{Open: 2, Evicted: 1})
 	})
 }
 
 // A connection with a request on it is never closed for another one.
 func TestNewConnectionIsTurnedAwayWhileAllAreBusy(t *testing.T) {
-	serve(t, 1, func(t *testing.T, listener pipes, a *acceptor.Acceptor, _ *acceptor.Times) {
+	serve(t, 1, func(t *testing.T, listener pipes, a *acceptor.Acceptor, _ *acceptor.Timeouts) {
 		answered := make(chan error, 1)
 		busy := listener.open()
 		go func() { answered <- ask(t, busy, "/10s") }()
@@ -156,6 +156,6 @@
 
 		assert.Assert(t, ask(t, listener.open(), "/") != nil)
 		assert.NilError(t, <-answered)
-		assert.Equal(t, a.Counters().TurnedAway, int64(1))
+		assert.Equal(t, a.Counters().Rejected, int64(1))
 	})
 }
--- a/internal/gateway/listening.go
+++ b/internal/gateway/listening.go
@@ -94,8 +94,8 @@
 }
 
 // callerTimes are the bounds of callers' connections: the operators', or the node's own before it knows them.
-func (n *Node) callerTimes() acceptor.Times {
-	times := acceptor.Times{Header: n.current.Load().Node.HeaderTimeout, Idle: idleTimeout}
+func (n *Node) callerTimes() acceptor.Timeouts {
+	times := acceptor.Timeouts{Header: n.current.Load().Node.HeaderTimeout, Idle: idleTimeout}
 
 	table := n.table.Load()
 	if table == nil {
