--- a/internal/gateway/duties.go
+++ b/internal/gateway/duties.go
@@ -23,7 +23,7 @@
 const mostCandidates = 4
 
 func (n *Node) newTallier() *tallier.Tallier {
-	options := tallier.Options{Life: strconv.FormatUint(rand.Uint64(), lifeBase), Now: n.catalog.Now, TimeOfDay: time.Now}
+	options := tallier.Options{Incarnation: strconv.FormatUint(rand.Uint64(), lifeBase), Now: n.catalog.Now, TimeOfDay: time.Now}
 
 	if settings := n.settings.Gateway.Duties; settings.ReportsUsage() {
 		options.Window = settings.UsageWindow
@@ -46,8 +46,8 @@
 		Store:          parts.Store,
 		Platform:       parts.Platform,
 		Peers:          n.messages,
-		Candidate:      n.isCandidate,
-		Leaving:        func() bool { return n.leaving() > 0 },
+		IsCandidate:    n.isCandidate,
+		IsLeaving:      func() bool { return n.leaving() > 0 },
 		Nodes:          n.answering,
 		State:          n.catalog.State,
 		Lease:          settings.Lease,
@@ -59,7 +59,7 @@
 	}
 
 	if settings.ReportsUsage() {
-		options.Window, options.Due = settings.UsageWindow, settings.UsageDue
+		options.Window, options.ReportDeadline = settings.UsageWindow, settings.UsageDue
 	}
 
 	n.leader = leader.New(options)
@@ -70,7 +70,7 @@
 	settings := n.current.Load().Gateway.Duties
 
 	return scaler.Policy{
-		Regular: settings.RegularUpstreams, MostPart: settings.MostPart, LeastPart: settings.LeastPart,
+		MinRegular: settings.RegularUpstreams, MaxFraction: settings.MostPart, MinFraction: settings.LeastPart,
 	}, settings.OrderUpstreams
 }
 
--- a/internal/gateway/leader/world_test.go
+++ b/internal/gateway/leader/world_test.go
@@ -96,7 +96,7 @@
 func (m *machine) begin(ctx context.Context, life string) {
 	p := &process{machine: m, life: life}
 	ctx, p.stop = context.WithCancel(ctx)
-	p.tallier = tallier.New(tallier.Options{Life: life, Window: window, Now: m.sinceStart, TimeOfDay: m.timeOfDay})
+	p.tallier = tallier.New(tallier.Options{Incarnation: life, Window: window, Now: m.sinceStart, TimeOfDay: m.timeOfDay})
 	spot := 0.15
 	services := []cataloguer.Service{{Name: "engines", Scaling: &cataloguer.Scaling{Maximum: 6, SpotPrice: &spot}}}
 	upstreams := []cataloguer.Upstream{{ID: "e", Service: "engines", FailureDomain: "z"}}
@@ -108,12 +108,12 @@
 		Node: m.name, Self: m.name, Incarnation: life,
 		Store:    keeper.NewLocal(m.store, p.judgeStore),
 		Platform: p, Peers: p,
-		Candidate: func() bool { return true },
-		Leaving:   func() bool { return false },
-		Nodes:     m.names,
-		State:     func() *cataloguer.State { return state },
-		Lease:     lease, CallsPerSecond: 50, Window: window, Due: due, Scales: true,
-		Policy: func() (scaler.Policy, bool) { return scaler.Policy{MostPart: 1}, true },
+		IsCandidate: func() bool { return true },
+		IsLeaving:   func() bool { return false },
+		Nodes:       m.names,
+		State:       func() *cataloguer.State { return state },
+		Lease:       lease, CallsPerSecond: 50, Window: window, ReportDeadline: due, Scales: true,
+		Policy: func() (scaler.Policy, bool) { return scaler.Policy{MaxFraction: 1}, true },
 		Now:    m.sinceStart, Logger: zerolog.Nop(),
 	})
 
--- a/internal/query/duty/show/show.go
+++ b/internal/query/duty/show/show.go
@@ -79,14 +79,14 @@
 		{"number", strconv.FormatInt(s.Number, 10)},
 		{"since", since(s.Since)},
 		{"last window reported", strconv.FormatInt(s.Usage.LastReported, 10)},
-		{"windows due, missed", fmt.Sprintf("%d, %d", s.Usage.Due, s.Usage.Missed)},
+		{"windows due, missed", fmt.Sprintf("%d, %d", s.Usage.PendingReports, s.Usage.MissedWindows)},
 	}
 
 	for _, p := range s.Pools {
 		rows = append(rows, []string{
 			p.Service + " in " + p.FailureDomain,
 			fmt.Sprintf("%s of %s regular, %d of %d spot, %d leaving",
-				strconv.Itoa(p.Regular), ordered(p.OrderedRegular), p.Spot, p.OrderedSpot, p.Leaving),
+				strconv.Itoa(p.Regular), ordered(p.OrderedRegular), p.Spot, p.OrderedSpot, p.Draining),
 		})
 	}
 
