--- a/internal/gateway/duties.go
+++ b/internal/gateway/duties.go
@@ -33,7 +33,7 @@
 }
 
 // addDuties lets the node stand for the platform's duties, if there are any.
-func (n *Node) addDuties(parts Duties) {
+func (n *Node) addDuties(parts DutyBackends) {
 	settings := n.settings.Gateway.Duties
 	if !settings.ReportsUsage() && !settings.Scales() {
 		return
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -78,12 +78,12 @@
 type Store interface {
 	follower.Store
 	quarantiner.Recorder
-	// RecordFirst records the node as the first one that the deployment ever had; false if there was one before.
-	RecordFirst(ctx context.Context, name string) (bool, error)
+	// RecordFirstNode records the node as the first one that the deployment ever had; false if there was one before.
+	RecordFirstNode(ctx context.Context, name string) (bool, error)
 }
 
-// Duties are the parts for what one node at a time does for all; they are used only where the settings name duties.
-type Duties struct {
+// DutyBackends are the parts for what one node at a time does for all; they are used only where the settings name duties.
+type DutyBackends struct {
 	Store    fencer.Store
 	Platform leader.Platform
 }
@@ -128,7 +128,7 @@
 }
 
 // Run serves until ctx ends and the planned stop is over.
-func Run(ctx context.Context, settings loader.Settings, store Store, duties Duties, protocol Protocol, logger zerolog.Logger) error {
+func Run(ctx context.Context, settings loader.Settings, store Store, duties DutyBackends, protocol Protocol, logger zerolog.Logger) error {
 	node := newNode(settings, store, protocol, logger)
 	node.addDuties(duties)
 
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -82,8 +82,8 @@
 	return nil
 }
 
-// RecordFirst implements gateway.Store.
-func (s *store) RecordFirst(context.Context, string) (bool, error) {
+// RecordFirstNode implements gateway.Store.
+func (s *store) RecordFirstNode(context.Context, string) (bool, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
@@ -156,7 +156,7 @@
 		EncodeEntries: encode,
 	}
 
-	go func() { ended <- gateway.Run(ctx, settings, s, gateway.Duties{}, protocol, zerolog.Nop()) }()
+	go func() { ended <- gateway.Run(ctx, settings, s, gateway.DutyBackends{}, protocol, zerolog.Nop()) }()
 
 	return stop, ended
 }
--- a/internal/gateway/members.go
+++ b/internal/gateway/members.go
@@ -77,7 +77,7 @@
 	ctx, cancel := context.WithTimeout(ctx, firstTimeout)
 	defer cancel()
 
-	first, err := n.store.RecordFirst(ctx, n.settings.Node.PeerListen)
+	first, err := n.store.RecordFirstNode(ctx, n.settings.Node.PeerListen)
 	if err != nil {
 		n.logger.Warn().Err(err).Msg("first_node_not_recorded")
 
