--- a/internal/gateway/balancer/pool_test.go
+++ b/internal/gateway/balancer/pool_test.go
@@ -86,7 +86,7 @@
 		}
 
 		grants := p.GrantQueued(now)
-		assert.Assert(t, len(grants) > 0, "nothing gets room")
+		assert.Assert(t, len(grants) > 0, "no queued request was granted")
 
 		for _, g := range grants {
 			assert.Assert(t, !g.Refused)
@@ -196,7 +196,7 @@
 	}
 
 	assert.Assert(t, len(chats) <= 2, "chats spread over %d engines", len(chats))
-	assert.Assert(t, beside <= 1, "%d of 6 long prompts beside chats", beside)
+	assert.Assert(t, beside <= 1, "%d of 6 long prompts on engines that run chats", beside)
 }
 
 // Requests of a session share 6,300 of 9,000 tokens. Reading these again costs 57 ms of an engine's time.
--- a/internal/gateway/estimator/estimator_test.go
+++ b/internal/gateway/estimator/estimator_test.go
@@ -12,8 +12,8 @@
 
 // engine responds with its true performance, with noise and outliers.
 type engine struct {
-	rate, step, pause, plain float64
-	random                   *rand.Rand
+	rate, step, prefillGap, plain float64
+	random                        *rand.Rand
 }
 
 // answer feeds one response to the estimator. One in six is stuck for seconds, and one in six has its prompt cached unexpectedly.
@@ -31,7 +31,7 @@
 
 	e.ObservePrefill(tokens, took)
 	e.ObserveStep(g.step * noise)
-	e.ObservePrefillGap(g.pause * noise)
+	e.ObservePrefillGap(g.prefillGap * noise)
 	e.ObservePlainCall(g.plain * noise)
 }
 
@@ -44,9 +44,9 @@
 // long prompts to engines where they stall streams, or leave engines idle.
 func TestFiguresOfUnlikeEnginesAreLearned(t *testing.T) {
 	engines := map[string]engine{
-		"slow reading, fast steps": {rate: 20, step: 2, pause: 600, plain: 60},
-		"fast reading, slow steps": {rate: 400, step: 30, pause: 160, plain: 5},
-		"like the first guess":     {rate: 110, step: 6.1, pause: 124, plain: 15},
+		"slow prefill, fast steps": {rate: 20, step: 2, prefillGap: 600, plain: 60},
+		"fast prefill, slow steps": {rate: 400, step: 30, prefillGap: 160, plain: 5},
+		"like the initial values":  {rate: 110, step: 6.1, prefillGap: 124, plain: 15},
 	}
 
 	for name, g := range engines {
@@ -58,12 +58,12 @@
 				g.answer(e)
 			}
 
-			figures := e.Estimates()
-			within(t, "reading", figures.PrefillTokensPerMS, g.rate, 0.15)
-			within(t, "step", figures.StepMS, g.step, 0.15)
-			within(t, "plain call", figures.PlainCallMS, g.plain, 0.15)
+			estimates := e.Estimates()
+			within(t, "prefill", estimates.PrefillTokensPerMS, g.rate, 0.15)
+			within(t, "step", estimates.StepMS, g.step, 0.15)
+			within(t, "plain call", estimates.PlainCallMS, g.plain, 0.15)
 			// Seven of ten streams stay below the estimate.
-			within(t, "reading pause", figures.PrefillGapMS, g.pause*1.08, 0.15)
+			within(t, "prefill gap", estimates.PrefillGapMS, g.prefillGap*1.08, 0.15)
 		})
 	}
 }
@@ -72,8 +72,8 @@
 // follow, the change shows up in the slowdown of each server.
 func TestFiguresFollowAChange(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 4))
-	fast := engine{rate: 100, step: 5, pause: 120, plain: 15, random: random}
-	slow := engine{rate: 20, step: 25, pause: 600, plain: 75, random: random}
+	fast := engine{rate: 100, step: 5, prefillGap: 120, plain: 15, random: random}
+	slow := engine{rate: 20, step: 25, prefillGap: 600, plain: 75, random: random}
 	e := estimator.New(5)
 
 	for range 1000 {
@@ -84,13 +84,13 @@
 		slow.answer(e)
 	}
 
-	within(t, "reading", e.Estimates().PrefillTokensPerMS, slow.rate, 0.2)
+	within(t, "prefill", e.Estimates().PrefillTokensPerMS, slow.rate, 0.2)
 
 	for range 200 {
 		fast.answer(e)
 	}
 
-	within(t, "reading", e.Estimates().PrefillTokensPerMS, fast.rate, 0.2)
+	within(t, "prefill", e.Estimates().PrefillTokensPerMS, fast.rate, 0.2)
 }
 
 func TestImpossibleTimesSayNothing(t *testing.T) {
