--- a/internal/gateway/estimator/estimator_test.go
+++ b/internal/gateway/estimator/estimator_test.go
@@ -59,7 +59,7 @@
 			}
 
 			estimates := e.Estimates()
-			within(t, "prefill", estimates.PrefillTokensPerMS, g.rate, 0.15)
+			within(t, "reading", estimates.PrefillTokensPerMS, g.rate, 0.15)
 			within(t, "step", estimates.StepMS, g.step, 0.15)
 			within(t, "plain call", estimates.PlainCallMS, g.plain, 0.15)
 			// Seven of ten streams stay below the estimate.
@@ -84,13 +84,13 @@
 		slow.answer(e)
 	}
 
-	within(t, "prefill", e.Estimates().PrefillTokensPerMS, slow.rate, 0.2)
+	within(t, "reading", e.Estimates().PrefillTokensPerMS, slow.rate, 0.2)
 
 	for range 200 {
 		fast.answer(e)
 	}
 
-	within(t, "prefill", e.Estimates().PrefillTokensPerMS, fast.rate, 0.2)
+	within(t, "reading", e.Estimates().PrefillTokensPerMS, fast.rate, 0.2)
 }
 
 func TestImpossibleTimesSayNothing(t *testing.T) {
