--- a/internal/gateway/balancer/pool.go
+++ b/internal/gateway/balancer/pool.go
@@ -41,8 +41,10 @@
 type Choice struct {
 	Upstream string `json:"u"`
 	Address  string `json:"a"`
-	// Loss is the expected loss, and ExpectedWaitMS the predicted time to the first event; both are for the log.
-	Loss           float64 `json:"l"`
+	// Loss is the expected loss, for the log.
+	Loss float64 `json:"l"`
+	// ExpectedWaitMS is the predicted time to the first event. If the request is refused, it is the time
+	// that the queue takes to drain.
 	ExpectedWaitMS float64 `json:"w"`
 }
 
