--- /dev/null
+++ b/internal/gateway/relayer/activity.go
@@ -0,0 +1,114 @@
+package relayer
+
+import (
+	"sync"
+	"time"
+)
+
+const (
+	// overtakeThreshold is the number of later requests with a response after which an earlier one counts as lost.
+	overtakeThreshold = 3
+	// maxRecentResponses limits the remembered responses of an upstream.
+	maxRecentResponses = 16
+	// activityRetention is how long an upstream without activity is remembered.
+	activityRetention = time.Minute
+)
+
+// activityTracker records when upstreams last sent data. It is safe for concurrent use.
+//
+// A request that waits long at a busy upstream must not be retried elsewhere: the second
+// upstream would repeat all of its work, and under overload that multiplies the
+// load. A request without a response is therefore considered lost only if its upstream
+// sends nothing at all, or if several requests that were sent later got a response before it.
+type activityTracker struct {
+	mu        sync.Mutex
+	upstreams map[string]*upstreamActivity
+	sweptAt   time.Time
+}
+
+type upstreamActivity struct {
+	// lastSeen is when the upstream last sent anything.
+	lastSeen time.Time
+	// responses holds the requests that most recently got a response.
+	responses []respondedRequest
+}
+
+type respondedRequest struct {
+	sent     time.Time
+	priority int
+}
+
+func newActivityTracker() *activityTracker {
+	return &activityTracker{upstreams: make(map[string]*upstreamActivity)}
+}
+
+// recordActivity records that the upstream sent data.
+func (v *activityTracker) recordActivity(upstream string, now time.Time) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+
+	v.entry(upstream, now).lastSeen = now
+}
+
+// recordResponse records the first event of a request's response, with the time at which the request was sent.
+func (v *activityTracker) recordResponse(upstream string, sent, now time.Time, priority int) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+
+	known := v.entry(upstream, now)
+	known.lastSeen = now
+	known.responses = append(known.responses, respondedRequest{sent: sent, priority: priority})
+
+	if len(known.responses) > maxRecentResponses {
+		known.responses = known.responses[1:]
+	}
+}
+
+// forget discards the recorded activity of an upstream.
+func (v *activityTracker) forget(upstream string) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+
+	delete(v.upstreams, upstream)
+}
+
+func (v *activityTracker) entry(upstream string, now time.Time) *upstreamActivity {
+	if now.Sub(v.sweptAt) > activityRetention {
+		v.sweptAt = now
+
+		for id, known := range v.upstreams {
+			if now.Sub(known.lastSeen) > activityRetention {
+				delete(v.upstreams, id)
+			}
+		}
+	}
+
+	known, ok := v.upstreams[upstream]
+	if !ok {
+		known = &upstreamActivity{}
+		v.upstreams[upstream] = known
+	}
+
+	return known
+}
+
+// isLost reports whether a request that was sent at the given time and has got no response since counts as lost.
+func (v *activityTracker) isLost(upstream string, sent, now time.Time, priority int, timeout time.Duration) bool {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+
+	known, ok := v.upstreams[upstream]
+	if !ok || now.Sub(known.lastSeen) >= timeout {
+		return true
+	}
+
+	overtaken := 0
+
+	for _, other := range known.responses {
+		if other.priority >= priority && other.sent.After(sent) {
+			overtaken++
+		}
+	}
+
+	return overtaken >= overtakeThreshold
+}
--- a/internal/gateway/relayer/attempt.go
+++ b/internal/gateway/relayer/attempt.go
@@ -16,38 +16,38 @@
 	"quincepath.example/quincepath/internal/gateway/dialer"
 )
 
-// verdict is what is known after one attempt.
-type verdict int
+// attemptResult is what is known about the request after an attempt.
+type attemptResult int
 
 const (
-	// done attempts were answered, or their caller is gone.
-	done verdict = iota
-	// unsent requests never left this node.
-	unsent
-	// notRun requests were refused by the upstream.
-	notRun
-	// unsure requests may have run.
-	unsure
+	// attemptDone means that the caller got the response or is gone.
+	attemptDone attemptResult = iota
+	// attemptNotSent means that the request never left this node.
+	attemptNotSent
+	// attemptNotRun means that the upstream refused the request without running it.
+	attemptNotRun
+	// attemptUnknown means that the upstream may have run the request.
+	attemptUnknown
 )
 
-// String returns the snake-case name of the verdict.
-func (v verdict) String() string {
+// String returns the name that is used as the reason of a retry in the metrics.
+func (v attemptResult) String() string {
 	switch v {
-	case done:
+	case attemptDone:
 		return "done"
-	case unsent:
+	case attemptNotSent:
 		return "unsent"
-	case notRun:
+	case attemptNotRun:
 		return "not_run"
 	default:
 		return "unsure"
 	}
 }
 
-// attempt sends the request to one upstream.
-func (r *Relayer) attempt(ctx context.Context, a *answer, choice balancer.Choice) verdict {
+// attempt sends the request to the chosen upstream and relays the response.
+func (r *Relayer) attempt(ctx context.Context, a *callerResponse, choice balancer.Choice) attemptResult {
 	request := a.request
-	id := request.workID()
+	id := request.attemptID()
 	outcome := balancer.Abandoned
 
 	defer func() { r.options.Chooser.RecordEnd(id, outcome) }()
@@ -56,73 +56,73 @@
 
 	if request.sends > 1 {
 		r.options.Logger.Info().Str("request_id", request.id).Str("route", request.route.Name).Str("service", request.service).
-			Str("upstream", choice.Upstream).Int("send", request.sends).Bool("extra", request.arrivals > 0).
-			Float64("borrowed", request.extra.Borrowed()).Msg("request_retried")
+			Str("upstream", choice.Upstream).Int("send", request.sends).Bool("extra", request.possibleArrivals > 0).
+			Float64("borrowed", request.retryPermit.Borrowed()).Msg("request_retried")
 	}
 
-	ctx, watch := newWatch(ctx)
+	ctx, watch := newWatchdog(ctx)
 	defer watch.stop()
 
 	sent := time.Now()
 
 	if request.route.Repeatable() {
 		timeout := request.attemptTimeout()
-		watch.arm(timeout, func() bool {
+		watch.start(timeout, func() bool {
 			return request.route.Kind == cataloguer.Idempotent ||
-				r.vitals.lost(choice.Upstream, sent, time.Now(), request.work.Priority, timeout)
+				r.activity.isLost(choice.Upstream, sent, time.Now(), request.poolRequest.Priority, timeout)
 		})
 	}
 
 	target := dialer.Upstream{ID: choice.Upstream, Address: choice.Address}
-	response, err := r.options.Dialer.Exchange(ctx, target, r.outgoing(request, choice))
-	request.settleExtra(err)
+	response, err := r.options.Dialer.Exchange(ctx, target, r.upstreamRequest(request, choice))
+	request.settleRetryPermit(err)
 
 	if err != nil {
-		return r.failed(ctx, request, choice, sent, err, &outcome)
+		return r.handleExchangeError(ctx, request, choice, sent, err, &outcome)
 	}
 	defer response.Close()
 
 	if response.StatusCode == http.StatusMisdirectedRequest {
 		outcome = balancer.Replaced
-		r.logAttempt(request, choice, "upstream_replaced", nil)
+		r.logFailedAttempt(request, choice, "upstream_replaced", nil)
 
-		return notRun
+		return attemptNotRun
 	}
 
-	r.heed(request, choice, response)
+	r.recordAvailability(request, choice, response)
 
 	if response.Header.Get(r.options.Headers.NotRun) != "" {
 		outcome = balancer.Rejected
-		r.logAttempt(request, choice, "refused_by_upstream", errors.Newf("status %d", response.StatusCode))
+		r.logFailedAttempt(request, choice, "refused_by_upstream", errors.Newf("status %d", response.StatusCode))
 
-		return notRun
+		return attemptNotRun
 	}
 
 	r.countRun(request, sent)
-	r.vitals.seen(choice.Upstream, time.Now())
+	r.activity.recordActivity(choice.Upstream, time.Now())
 
 	return r.deliver(ctx, a, choice, sent, response, watch, &outcome)
 }
 
-// heed notes what the upstream's answer says of its wish for requests.
-func (r *Relayer) heed(request *request, choice balancer.Choice, response *dialer.Response) {
+// recordAvailability records whether the upstream's response announces a shutdown or asks for a pause.
+func (r *Relayer) recordAvailability(request *request, choice balancer.Choice, response *dialer.Response) {
 	now := time.Now()
 
 	if leaving := response.Header.Get(r.options.Headers.Leaving); leaving != "" && leaving != "0" {
-		// The others learn it from those that decide; this node may not send there by anyone's decision.
-		if r.avoider.leave(request.service, choice.Upstream, r.bornAt(choice.Upstream)) {
+		// Other nodes learn of it from the pool's holders; this node must decline any choice of the upstream.
+		if r.avoidList.markLeaving(request.service, choice.Upstream, r.bornAt(choice.Upstream)) {
 			r.options.Logger.Info().Str("upstream", choice.Upstream).Str("service", request.service).Msg("upstream_leaving")
-			r.options.Chooser.MarkLeaving(request.workID())
+			r.options.Chooser.MarkLeaving(request.attemptID())
 		}
 	}
 
 	if rest, ok := forwarder.RestOf(response.Response, now); ok {
-		r.avoider.rest(request.service, choice.Upstream, r.bornAt(choice.Upstream), now.Add(rest))
+		r.avoidList.markResting(request.service, choice.Upstream, r.bornAt(choice.Upstream), now.Add(rest))
 		r.options.Logger.Info().Str("upstream", choice.Upstream).Str("service", request.service).Dur("rest_ms", rest).Msg("upstream_resting")
 	}
 }
 
-// bornAt is when the upstream was started, as it is listed; 0 if that isn't known.
+// bornAt returns the listed start time of the upstream in Unix milliseconds, or 0 if it isn't known.
 func (r *Relayer) bornAt(upstream string) int64 {
 	listed := r.options.Catalog.State().Registry.Upstreams
 
@@ -134,28 +134,29 @@
 	return listed[i].Born
 }
 
-// failed judges an exchange without an answer.
-func (r *Relayer) failed(ctx context.Context, request *request, choice balancer.Choice, sent time.Time, err error, outcome *balancer.Outcome) verdict {
+// handleExchangeError classifies an exchange that got no response.
+func (r *Relayer) handleExchangeError(ctx context.Context, request *request, choice balancer.Choice, sent time.Time, err error, outcome *balancer.Outcome) attemptResult {
 	if errors.Is(err, dialer.ErrNotSent) {
-		// That this node has no connection left says nothing of the upstream.
+		// A connection limit of this node says nothing about the upstream.
 		if ctx.Err() == nil && !errors.Is(err, dialer.ErrTooManyConnections) {
 			*outcome = balancer.Unreachable
 		}
 
-		r.logAttempt(request, choice, "not_sent", err)
+		r.logFailedAttempt(request, choice, "not_sent", err)
 
-		return unsent
+		return attemptNotSent
 	}
 
 	r.countRun(request, sent)
-	r.judgeBreak(ctx, request, choice, outcome, false)
-	r.logAttempt(request, choice, "no_answer", causeOf(ctx, err))
+	r.recordInterruption(ctx, request, choice, outcome, false)
+	r.logFailedAttempt(request, choice, "no_answer", causeOf(ctx, err))
 
-	return unsure
+	return attemptUnknown
 }
 
-// countRun counts an attempt that may have run; an organisation's usage counts each request once. A stream begins to run with
-// its first event, which is on its way when the answer begins; anything else when it is sent.
+// countRun counts an attempt that may have run. The organisation's usage counts each request once, with its start time:
+// a stream starts running with its first event, which is being sent when the response starts; any other request when it
+// is sent.
 func (r *Relayer) countRun(request *request, sent time.Time) {
 	request.runs++
 
@@ -168,18 +169,19 @@
 	}
 }
 
-// judgeBreak judges an exchange that broke while the upstream may have run the request.
-func (r *Relayer) judgeBreak(ctx context.Context, request *request, choice balancer.Choice, outcome *balancer.Outcome, answering bool) {
-	if !blamesUpstream(ctx) {
+// recordInterruption records an exchange that failed while the upstream may have been running the request, unless the
+// upstream is not at fault.
+func (r *Relayer) recordInterruption(ctx context.Context, request *request, choice balancer.Choice, outcome *balancer.Outcome, responseStarted bool) {
+	if !isUpstreamFault(ctx) {
 		return
 	}
 
 	*outcome = balancer.Failed
-	r.options.Quarantine.Broke(request.key, choice.Upstream, choice.Address, answering)
+	r.options.Quarantine.Broke(request.key, choice.Upstream, choice.Address, responseStarted)
 }
 
-// load returns the load that an upstream told in its answer, nil if it told none.
-func (r *Relayer) load(response *dialer.Response) *balancer.Load {
+// parseLoad returns the load that the upstream reports in its response, or nil if it reports none.
+func (r *Relayer) parseLoad(response *dialer.Response) *balancer.Load {
 	running, rest, found := strings.Cut(response.Header.Get(r.options.Headers.Load), ",")
 	if !found {
 		return nil
@@ -187,16 +189,17 @@
 
 	waiting, _, _ := strings.Cut(rest, ",")
 
-	return &balancer.Load{Running: number(running), Waiting: number(waiting)}
+	return &balancer.Load{Running: parseCount(running), Waiting: parseCount(waiting)}
 }
 
-// blamesUpstream says whether an attempt that failed is the upstream's fault: a caller that left or
-// whose time is over says nothing of it.
-func blamesUpstream(ctx context.Context) bool {
-	return ctx.Err() == nil || errors.Is(context.Cause(ctx), errSilent)
+// isUpstreamFault reports whether a failed attempt is the upstream's fault: a caller that disconnected or
+// whose deadline has passed says nothing about the upstream.
+func isUpstreamFault(ctx context.Context) bool {
+	return ctx.Err() == nil || errors.Is(context.Cause(ctx), errAttemptTimeout)
 }
 
-// causeOf tells why an attempt ended: a cancelled context shows on the connection as a mere timeout.
+// causeOf returns why an attempt failed. The context's cause takes precedence, as the connection reports a cancelled
+// context only as a timeout.
 func causeOf(ctx context.Context, err error) error {
 	if cause := context.Cause(ctx); cause != nil {
 		return cause
@@ -205,25 +208,25 @@
 	return err
 }
 
-// outgoing returns the request as this upstream gets it.
-func (r *Relayer) outgoing(request *request, choice balancer.Choice) *dialer.Request {
+// upstreamRequest returns the request with the headers for the chosen upstream.
+func (r *Relayer) upstreamRequest(request *request, choice balancer.Choice) *dialer.Request {
 	names := &r.options.Headers
 	header := request.header.Clone()
 
 	header[names.ExpectUpstream] = []string{choice.Upstream}
-	left := max(time.Until(request.limit).Milliseconds(), 1)
+	left := max(time.Until(request.deadline).Milliseconds(), 1)
 	header[names.Deadline] = []string{strconv.FormatInt(left, 10)}
 
 	if request.organisation != "" {
 		header[names.Organisation] = []string{request.organisation}
 	}
 
-	if request.work.PromptTokens > 0 {
-		header[names.Priority] = []string{strconv.Itoa(request.rank)}
+	if request.poolRequest.PromptTokens > 0 {
+		header[names.Priority] = []string{strconv.Itoa(request.engineRank)}
 	}
 
-	if request.lastEvent != "" {
-		header[names.LastEventID] = []string{request.lastEvent}
+	if request.lastEventID != "" {
+		header[names.LastEventID] = []string{request.lastEventID}
 	}
 
 	return &dialer.Request{
@@ -237,7 +240,7 @@
 	}
 }
 
-func (r *Relayer) logAttempt(request *request, choice balancer.Choice, result string, err error) {
+func (r *Relayer) logFailedAttempt(request *request, choice balancer.Choice, result string, err error) {
 	r.options.FailedAttempts.Add(result, 1)
 	r.options.Logger.Info().
 		Str("request_id", request.id).
--- a/internal/gateway/relayer/body.go
+++ b/internal/gateway/relayer/body.go
@@ -13,100 +13,101 @@
 	"quincepath.example/quincepath/pkg/classifier"
 )
 
-// defaultBody bounds a body while the configuration names no bound.
-const defaultBody = 4 << 20
-
-// errNoMemory says that the node holds as many bytes of bodies as it may.
-var errNoMemory = errors.New("the node holds as many bytes as it may")
-
-// reservation is the memory that one body takes of what all bodies may take together. It is taken before
-// the bytes are read: counted afterwards, many slow bodies at once would pass the bound.
-type reservation struct {
-	total *atomic.Int64
-	most  int64
-	bytes int64
+// defaultMaxBodyBytes is the maximum body size if the configuration sets none.
+const defaultMaxBodyBytes = 4 << 20
+
+// errBodyMemoryFull is returned when a body doesn't fit into the memory for request bodies.
+var errBodyMemoryFull = errors.New("memory limit for request bodies reached")
+
+// memoryReservation is the share of one body in the memory for all request bodies. If the body's length is known, memory
+// is reserved before the body is read: counted afterwards, many slow bodies at once would exceed the limit.
+type memoryReservation struct {
+	used     *atomic.Int64
+	limit    int64
+	reserved int64
 }
 
-func (v *reservation) take(bytes int64) bool {
-	if v.total.Add(bytes) > v.most {
-		v.total.Add(-bytes)
+func (v *memoryReservation) reserve(bytes int64) bool {
+	if v.used.Add(bytes) > v.limit {
+		v.used.Add(-bytes)
 
 		return false
 	}
 
-	v.bytes += bytes
+	v.reserved += bytes
 
 	return true
 }
 
-func (v *reservation) release() {
-	v.total.Add(-v.bytes)
-	v.bytes = 0
+func (v *memoryReservation) release() {
+	v.used.Add(-v.reserved)
+	v.reserved = 0
 }
 
-// reservingReader reserves memory for the bytes that it reads.
+// reservingReader reserves memory for the bytes it reads.
 type reservingReader struct {
 	io.Reader
-	held *reservation
+	memory *memoryReservation
 }
 
 // Read implements io.Reader.
 func (r reservingReader) Read(p []byte) (int, error) {
 	n, err := r.Reader.Read(p)
-	if !r.held.take(int64(n)) {
-		return 0, errNoMemory
+	if !r.memory.reserve(int64(n)) {
+		return 0, errBodyMemoryFull
 	}
 
 	return n, err
 }
 
-// readBody reads the whole body, which is needed to send it again. A body that comes too slowly is cut off when the
-// request's time is over: its caller would get no answer in time, and bodies that never end would fill the memory.
+// readBody reads the complete body, which a retry needs. Reading stops at the request's deadline: the caller would get
+// no response in time, and bodies that never end would fill the memory.
 func (r *Relayer) readBody(w http.ResponseWriter, accepted *request, limits cataloguer.Limits, incoming *http.Request) *classifier.Error {
 	if incoming.ContentLength == 0 {
 		return nil
 	}
 
-	bound := limits.BodyBytes
-	if bound == 0 {
-		bound = defaultBody
+	maxBytes := limits.BodyBytes
+	if maxBytes == 0 {
+		maxBytes = defaultMaxBodyBytes
 	}
 
-	if incoming.ContentLength > bound {
-		return classifier.New(classifier.BodyTooLarge, "the body has %d bytes; %d are taken", incoming.ContentLength, bound)
+	if incoming.ContentLength > maxBytes {
+		return classifier.New(classifier.BodyTooLarge, "the body has %d bytes; %d are taken", incoming.ContentLength, maxBytes)
 	}
 
 	controller := http.NewResponseController(w)
-	_ = controller.SetReadDeadline(accepted.limit)
+	_ = controller.SetReadDeadline(accepted.deadline)
 
-	body, err := readBytes(incoming, bound, accepted.held)
+	body, err := readUpTo(incoming, maxBytes, accepted.bodyMemory)
 
 	switch {
-	case errors.Is(err, errNoMemory):
-		return classifier.Wrap(err, classifier.NodeFull, "no room for the body").After(later())
+	case errors.Is(err, errBodyMemoryFull):
+		return classifier.Wrap(err, classifier.NodeFull, "no room for the body").After(jitteredRetryAfter())
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return classifier.Wrap(err, classifier.SlowSender, "the body did not arrive in the request's time")
 	case err != nil:
 		return classifier.Wrap(err, classifier.SlowSender, "the body did not arrive")
-	case int64(len(body)) > bound:
-		return classifier.New(classifier.BodyTooLarge, "the body is longer than %d bytes", bound)
+	case int64(len(body)) > maxBytes:
+		return classifier.New(classifier.BodyTooLarge, "the body is longer than %d bytes", maxBytes)
 	}
 
-	// The server goes on reading to notice that the caller leaves; the deadline would look like that.
+	// The server continues to read in order to detect that the caller disconnects; an expired read deadline would look
+	// like a disconnect.
 	_ = controller.SetReadDeadline(time.Time{})
 	accepted.body = body
 
 	return nil
 }
 
-// readBytes reads a body of known length, or else one byte more than the bound at most.
-func readBytes(incoming *http.Request, bound int64, held *reservation) ([]byte, error) {
+// readUpTo reads a body of known length, or at most maxBytes+1 bytes of a body of unknown length.
+func readUpTo(incoming *http.Request, maxBytes int64, memory *memoryReservation) ([]byte, error) {
 	if incoming.ContentLength < 0 {
-		return io.ReadAll(reservingReader{Reader: io.LimitReader(incoming.Body, bound+1), held: held})
+		return io.ReadAll(reservingReader{Reader: io.LimitReader(incoming.Body, maxBytes+1), memory: memory})
 	}
 
-	if !held.take(incoming.ContentLength) {
-		return nil, errNoMemory
+	if !memory.reserve(incoming.ContentLength) {
+		return nil, errBodyMemoryFull
 	}
 
 	body := make([]byte, incoming.ContentLength)
@@ -115,7 +116,7 @@
 	return body, err
 }
 
-// headerBytes is about the size of the request's header as it came.
+// headerBytes returns the approximate size of the request's header on the wire.
 func headerBytes(incoming *http.Request) int {
 	const separators = len(": \r\n")
 
--- a/internal/gateway/relayer/body_test.go
+++ b/internal/gateway/relayer/body_test.go
@@ -13,8 +13,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// open sends the header of a request whose body has 900 bytes, and begins the body.
-func (w *world) open(deadline string) net.Conn {
+// openSlowBody sends the header and the first bytes of a request with a body of 900 bytes.
+func (w *fixture) openSlowBody(deadline string) net.Conn {
 	w.t.Helper()
 
 	conn, err := net.Dial("tcp", w.server.Listener.Addr().String())
@@ -27,28 +27,26 @@
 	return conn
 }
 
-// Symptom: callers that send too slowly wait for their answer long after their time, and fill the memory.
-// Sequence: the header and a few bytes of the body come, the rest doesn't.
-// Cause: nothing bounded the time for a body.
+// Guards against slow callers that wait past their deadline and fill the memory: the header and a few bytes of the body
+// arrive, the rest never does, and no timeout applies to the body.
 func TestSlowBodyIsCutWhenTheRequestsTimeIsOver(t *testing.T) {
-	w := newWorld(t, 10)
-	u := w.add(answers(http.StatusOK, "ran"))
+	w := newFixture(t, 10)
+	u := w.add(respondWith(http.StatusOK, "ran"))
 
-	response, err := http.ReadResponse(bufio.NewReader(w.open("30")), nil)
+	response, err := http.ReadResponse(bufio.NewReader(w.openSlowBody("30")), nil)
 	assert.NilError(t, err)
 	assert.NilError(t, response.Body.Close())
 	assert.Equal(t, response.StatusCode, http.StatusRequestTimeout)
 	assert.Equal(t, u.count(), 0)
 }
 
-// Symptom: a node is killed for its memory while many callers send bodies slowly.
-// Sequence: one body is announced and comes slowly; a second one comes that has no room beside it.
-// Cause: bodies were counted once they had come.
+// Guards against a node that runs out of memory while many callers send bodies slowly: a slow body is announced, and a
+// second one that doesn't fit beside it is accepted, because bodies are counted only after they were received.
 func TestBodiesAreCountedBeforeTheyCome(t *testing.T) {
-	w := startWorld(t, 10, 1000)
-	w.add(answers(http.StatusOK, "ran"))
+	w := newFixtureWithBodyMemory(t, 10, 1000)
+	w.add(respondWith(http.StatusOK, "ran"))
 
-	slow := w.slowBeside(200)
+	slow := w.holdBodyMemory(200)
 
 	_, err := io.WriteString(slow, strings.Repeat("x", 895))
 	assert.NilError(t, err)
@@ -58,7 +56,7 @@
 	assert.NilError(t, response.Body.Close())
 	assert.Equal(t, response.StatusCode, http.StatusOK)
 
-	// Its room is free again.
+	// The memory of the first body is released.
 	response, _, err = w.send("/price/1", func(r *http.Request) {
 		r.Body, r.ContentLength = io.NopCloser(strings.NewReader(strings.Repeat("x", 900))), 900
 	})
@@ -66,12 +64,12 @@
 	assert.Equal(t, response.StatusCode, http.StatusOK)
 }
 
-// slowBeside returns a connection whose slow body leaves no room for another one of so many bytes.
-func (w *world) slowBeside(bytes int) net.Conn {
+// holdBodyMemory returns a connection whose slow body leaves no memory for another body of the given size.
+func (w *fixture) holdBodyMemory(bytes int) net.Conn {
 	w.t.Helper()
 
 	for range 1000 {
-		slow := w.open("20000")
+		slow := w.openSlowBody("20000")
 		for w.relayer.InFlight() == 0 {
 			time.Sleep(time.Millisecond)
 		}
@@ -85,14 +83,14 @@
 			return slow
 		}
 
-		// The short one was counted before the slow one, which found no room then.
+		// The short body was counted before the slow one, which was then refused.
 		assert.NilError(w.t, slow.Close())
 		for w.relayer.InFlight() > 0 {
 			time.Sleep(time.Millisecond)
 		}
 	}
 
-	w.t.Fatal("a body found room beside one that takes nearly all")
+	w.t.Fatal("a body was accepted although a slow one holds nearly all memory")
 
 	return nil
 }
--- a/internal/gateway/relayer/pace_test.go
+++ b/internal/gateway/relayer/gaps_test.go
@@ -9,14 +9,14 @@
 	"quincepath.example/quincepath/internal/gateway/balancer"
 )
 
-func TestPauses(t *testing.T) {
+func TestGapTracker(t *testing.T) {
 	begun := time.Date(2026, time.March, 12, 4, 0, 0, 0, time.UTC)
-	p := &pace{}
-	assert.Equal(t, p.pauses(), balancer.Pauses{})
+	p := &gapTracker{}
+	assert.Equal(t, p.eventGaps(), balancer.Pauses{})
 
 	for _, at := range []time.Duration{0, 10 * time.Millisecond, 150 * time.Millisecond, 160 * time.Millisecond} {
-		p.event(begun.Add(at))
+		p.record(begun.Add(at))
 	}
 
-	assert.Equal(t, p.pauses(), balancer.Pauses{Events: 4, Mean: 53.3, Longest: 140})
+	assert.Equal(t, p.eventGaps(), balancer.Pauses{Events: 4, Mean: 53.3, Longest: 140})
 }
--- a/internal/gateway/relayer/headers.go
+++ b/internal/gateway/relayer/headers.go
@@ -5,47 +5,47 @@
 	"strings"
 )
 
-// Headers names the headers that callers, nodes and upstreams exchange. Names are in canonical form.
+// Headers holds the names of the headers between callers, nodes and upstreams, in canonical form.
 type Headers struct {
-	// RequestID names a caller's attempt; upstreams repeat it in their answers.
+	// RequestID identifies a caller's attempt; upstreams repeat it in their responses.
 	RequestID string
-	// Deadline holds the milliseconds that the sender will wait.
+	// Deadline is the number of milliseconds that the sender will wait.
 	Deadline string
-	// LastEventID is the id of the last event that the caller has of a stream.
+	// LastEventID is the ID of the last event of a stream that the caller received.
 	LastEventID string
-	// TokenCounts holds the tokens of the prompt and the most to generate, separated by a comma.
+	// TokenCounts is the number of prompt tokens and the maximum number of tokens to generate, separated by a comma.
 	TokenCounts string
-	// PromptParts lists the prompt's parts as id:tokens, separated by commas.
+	// PromptParts lists the parts of the prompt as id:tokens, separated by commas.
 	PromptParts string
-	// Authorization carries the caller's key after KeyScheme and a space.
+	// Authorization is the caller's API key, preceded by KeyScheme and a space.
 	Authorization string
 	KeyScheme     string
-	// Organisation tells upstreams whose request it is.
+	// Organisation is the name of the caller's organisation, for upstreams.
 	Organisation string
-	// ExpectUpstream is the id of the upstream that is meant; any other one refuses the request.
+	// ExpectUpstream is the ID of the intended upstream; any other upstream refuses the request.
 	ExpectUpstream string
-	// Priority tells engines the rank of a request.
+	// Priority is the rank of a request, for engines.
 	Priority string
-	// Signature marks an answer as made by an upstream.
+	// Signature marks a response as made by an upstream.
 	Signature string
-	// Load holds the numbers of running and waiting requests of an upstream and its slots, separated by commas.
+	// Load is an upstream's numbers of running requests, waiting requests and slots, separated by commas.
 	Load string
-	// Leaving marks the answers of an upstream that wants no further requests.
+	// Leaving marks the responses of an upstream that is shutting down and accepts no further requests.
 	Leaving string
-	// NotRun marks an upstream's answer to a request that it did not run.
+	// NotRun marks an upstream's response to a request that it did not run.
 	NotRun string
-	// Reserved are further headers that only nodes may set.
+	// Reserved lists further headers that only nodes may set.
 	Reserved []string
 }
 
-// perConnection are the headers that concern one connection only.
-var perConnection = []string{
+// hopByHopHeaders are the headers that apply to one connection only.
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect", "Content-Length",
 }
 
-// dropPerConnection removes what must not be passed on, also what Connection itself names.
-func dropPerConnection(header http.Header) {
+// removeHopByHop removes the headers that must not be forwarded, including those listed in Connection.
+func removeHopByHop(header http.Header) {
 	for _, value := range header["Connection"] {
 		for name := range strings.SplitSeq(value, ",") {
 			if name = strings.TrimSpace(name); name != "" {
@@ -54,15 +54,15 @@
 		}
 	}
 
-	for _, name := range perConnection {
+	for _, name := range hopByHopHeaders {
 		delete(header, name)
 	}
 }
 
-// outgoing returns the headers of a caller's request without those that only nodes may set.
-func (h *Headers) outgoing(incoming http.Header) http.Header {
+// forUpstream returns the headers of a caller's request without hop-by-hop headers and those that only nodes may set.
+func (h *Headers) forUpstream(incoming http.Header) http.Header {
 	header := incoming.Clone()
-	dropPerConnection(header)
+	removeHopByHop(header)
 
 	for _, name := range h.Reserved {
 		delete(header, name)
@@ -72,7 +72,7 @@
 		delete(header, name)
 	}
 
-	// Without a value of its own, net/http would add one that the caller didn't send.
+	// net/http would otherwise add a User-Agent that the caller didn't send.
 	if len(header["User-Agent"]) == 0 {
 		header["User-Agent"] = []string{""}
 	}
--- a/internal/gateway/relayer/refusal.go
+++ b/internal/gateway/relayer/refusal.go
@@ -9,8 +9,8 @@
 	"quincepath.example/quincepath/pkg/classifier"
 )
 
-// refusal is the body of a refusal or failure.
-type refusal struct {
+// refusalBody is the JSON body of an error response that the node writes itself.
+type refusalBody struct {
 	Code      string         `json:"code"`
 	Result    int            `json:"result_code"`
 	Ran       classifier.Ran `json:"ran"`
@@ -18,13 +18,13 @@
 	RequestID string         `json:"request_id,omitempty"`
 }
 
-// fail gives up on a request that was accepted.
-func (r *Relayer) fail(a *answer, failure *classifier.Error) {
-	a.account.code = failure.Code
+// fail ends an accepted request with an error response.
+func (r *Relayer) fail(a *callerResponse, failure *classifier.Error) {
+	a.stats.code = failure.Code
 	r.refuse(a.writer, a.request.id, a.request, failure)
 }
 
-// refuse counts, logs and gives a final answer of this node. The request is nil when it was not accepted.
+// refuse counts, logs and writes an error response of this node. The request is nil if it was not accepted.
 func (r *Relayer) refuse(w http.ResponseWriter, id string, request *request, failure *classifier.Error) {
 	name := ""
 	if request != nil {
@@ -48,9 +48,9 @@
 	}
 
 	if request != nil {
-		event = event.Stringer("request_key", request.key).Str("route", request.route.Name).Str("service", request.service).Int("rank", request.rank).
+		event = event.Stringer("request_key", request.key).Str("route", request.route.Name).Str("service", request.service).Int("rank", request.engineRank).
 			Int("sends", request.sends).Int("runs", request.runs).Strs("excluded", request.excluded).
-			Dur("age_ms", time.Since(request.arrived)).Dur("queue_ms", request.queueAhead)
+			Dur("age_ms", time.Since(request.arrived)).Dur("queue_ms", request.queueDrainTime)
 	}
 
 	event.Msg("request_refused")
@@ -71,8 +71,8 @@
 	}
 
 	w.WriteHeader(classifier.Describe(failure.Code).Status)
-	// A failed write means that the caller left; its connection ends with the handler.
-	_ = json.NewEncoder(w).Encode(refusal{
+	// A failed write means that the caller disconnected; the connection closes when the handler returns.
+	_ = json.NewEncoder(w).Encode(refusalBody{
 		Code:      failure.Code.String(),
 		Result:    int(failure.Code),
 		Ran:       failure.Ran,
--- a/internal/gateway/relayer/relayer.go
+++ b/internal/gateway/relayer/relayer.go
@@ -1,9 +1,9 @@
-// Package relayer carries a caller's HTTP request to an upstream and the answer
-// back, unchanged: it finds the route, checks the key, asks for an upstream,
-// sends, tries again where that is safe, and resumes broken streams.
+// Package relayer forwards callers' HTTP requests to upstreams and returns the
+// responses unchanged: it finds the route, checks the API key, requests an upstream,
+// sends the request, retries it where that is safe, and resumes interrupted streams.
 //
-// A request that must not be repeated is sent again only when the upstream surely
-// did not run it. A refusal that says "not run" is given only then.
+// A request that is not repeatable is only retried if it is certain that the upstream
+// did not run it. Likewise, an error response only says "not run" if nothing ran.
 package relayer
 
 import (
@@ -29,51 +29,53 @@
 )
 
 const (
-	// maxSends bounds how often one request is sent, refusals of upstreams included.
+	// maxSends is the maximum number of times that a request is sent, including sends that upstreams refused.
 	maxSends = 4
-	// retryAfterSoon is told to callers whose request another node or the same one can take at once.
-	retryAfterSoon = 50 * time.Millisecond
-	// retryAfterLater is told where something must recover first. A random part is added, so that
-	// callers that were refused together don't return together.
-	retryAfterLater = 250 * time.Millisecond
-	// mostDeclined bounds the choices of one request that are declined, since their upstreams want no requests.
-	mostDeclined = 4
-	// lateLines bounds the lines of late requests in a second.
-	lateLines = 20
-	// writeGrace is how long an answer may take to reach the caller after the request's time is over.
+	// shortRetryAfter is the Retry-After of requests that another node, or this one, can accept immediately.
+	shortRetryAfter = 50 * time.Millisecond
+	// longRetryAfter is the least Retry-After where something must recover first. Random jitter is added, so that
+	// callers that were refused together don't retry together.
+	longRetryAfter = 250 * time.Millisecond
+	// maxDeclined is the maximum number of choices that are declined for one request because their upstreams accept
+	// no requests.
+	maxDeclined = 4
+	// maxLateLogsPerSecond limits the log lines about late requests.
+	maxLateLogsPerSecond = 20
+	// writeGrace is how long writing a response to the caller may continue after the request's deadline.
 	writeGrace = time.Second
 )
 
-// Chooser picks upstreams and is told what became of the requests.
+// Chooser chooses upstreams and tracks the requests sent to them.
 type Chooser interface {
-	// Choose returns an upstream of the service, or false when none can take the request.
-	Choose(ctx context.Context, service string, work balancer.Work) (balancer.Choice, bool)
-	// RecordFirstEvent tells that the answer began, and the load that the upstream told of itself; nil if none.
+	// Choose returns an upstream of the service, or false if none can accept the request.
+	Choose(ctx context.Context, service string, request balancer.Work) (balancer.Choice, bool)
+	// RecordFirstEvent records that a response started, with the load that the upstream reported, or nil.
 	RecordFirstEvent(id string, load *balancer.Load)
-	// RecordGaps tells how the events of a whole stream came. It comes before the end.
+	// RecordGaps records the gaps between the events of a complete stream. It is called before RecordEnd.
 	RecordGaps(id string, pauses balancer.Pauses)
 	RecordEnd(id string, outcome balancer.Outcome)
-	// MarkLeaving tells that the request's upstream said that it leaves. It comes before the end.
+	// MarkLeaving records that the request's upstream announced its shutdown. It is called before RecordEnd.
 	MarkLeaving(id string)
 }
 
-// Quarantine keeps requests that crash upstreams from running.
+// Quarantine blocks requests that crash upstreams.
 type Quarantine interface {
-	// Check returns how much longer a request must not run; false if it may.
+	// Check returns how much longer a request must not run, or false if it may run.
 	Check(key quarantiner.Key) (time.Duration, bool)
-	// Answered tells that an upstream answered the request whole.
+	// Answered records that an upstream responded to the request completely.
 	Answered(key quarantiner.Key)
-	// Broke tells that an upstream broke off while it may have run the request; answering says that part of the answer had come.
+	// Broke records that the connection failed while the upstream may have been running the request. answering is true
+	// if part of the response had arrived.
 	Broke(key quarantiner.Key, upstream, address string, answering bool)
 }
 
-// Usage counts the requests of organisations that began to run.
+// Usage counts started requests by organisation.
 type Usage interface {
-	// Count counts a request that began to run so long ago.
+	// Count counts a request that started running the given time ago.
 	Count(organisation string, ago time.Duration)
 }
 
-// Options are the parts of a Relayer; all are required.
+// Options configure a Relayer. All fields are required.
 type Options struct {
 	Headers Headers
 	Catalog *cataloguer.Catalog
@@ -82,18 +84,18 @@
 	Chooser     Chooser
 	Dialer      *dialer.Dialer
 	RetryBudget *budgeter.Budgeter
-	// Quarantine judges the requests by their content.
+	// Quarantine identifies requests by their content.
 	Quarantine Quarantine
 	Usage      Usage
-	// MaxKeyAge is the greatest age of what is known of keys at which they are still honoured.
+	// MaxKeyAge returns the maximum age of the configuration at which its API keys are still accepted.
 	MaxKeyAge func() time.Duration
-	// LeavingFor says since when the node is in a planned stop; zero means that it isn't.
+	// LeavingFor returns how long ago the node's graceful shutdown started, or zero if it hasn't.
 	LeavingFor func() time.Duration
-	// LeavingGrace is how long after the begin of a planned stop requests are still taken.
+	// LeavingGrace is how long after the start of a graceful shutdown requests are still accepted.
 	LeavingGrace time.Duration
-	// MaxBodyMemory bounds the bytes of request bodies that are held at once.
+	// MaxBodyMemory limits the bytes of all request bodies in memory.
 	MaxBodyMemory int64
-	// Meter counts requests by route; Attempts counts failed attempts by their result.
+	// Meter counts requests by route; FailedAttempts counts failed attempts by result.
 	Meter          *meter.Meter
 	FailedAttempts *expvar.Map
 	Logger         zerolog.Logger
@@ -101,43 +103,43 @@
 
 // Relayer handles the requests of callers. It is safe for concurrent use.
 type Relayer struct {
-	options Options
-	vitals  *vitals
-	avoider *avoider
-	// late takes the lines of late requests; under overload nearly all are late, and some of them tell enough.
-	late zerolog.Logger
-	// bodies is the number of bytes of request bodies held now.
-	bodies atomic.Int64
-	// inFlight counts the requests that were taken and not ended.
+	options   Options
+	activity  *activityTracker
+	avoidList *avoidList
+	// lateLogger samples the log lines about late requests: under overload nearly all are late, and some lines suffice.
+	lateLogger zerolog.Logger
+	// bodyBytes is the current size of all request bodies in memory.
+	bodyBytes atomic.Int64
+	// inFlight is the number of requests being handled.
 	inFlight atomic.Int64
 }
 
-// New returns a relayer.
+// New returns a Relayer without known upstream activity.
 func New(options Options) *Relayer {
-	sampler := &zerolog.BurstSampler{Burst: lateLines, Period: time.Second}
+	sampler := &zerolog.BurstSampler{Burst: maxLateLogsPerSecond, Period: time.Second}
 
-	return &Relayer{options: options, vitals: newVitals(), avoider: newAvoider(), late: options.Logger.Sample(sampler)}
+	return &Relayer{options: options, activity: newActivityTracker(), avoidList: newAvoidList(), lateLogger: options.Logger.Sample(sampler)}
 }
 
-// InFlight is the number of requests that are being handled.
+// InFlight returns the number of requests being handled.
 func (r *Relayer) InFlight() int64 {
 	return r.inFlight.Load()
 }
 
-// ForgetUpstream drops what is known of an upstream that started again: signs of life from before say nothing of the requests
-// that it has lost.
+// ForgetUpstream discards the recorded activity of an upstream that restarted: activity from before the restart says
+// nothing about the requests that were lost in it.
 func (r *Relayer) ForgetUpstream(upstream string) {
-	r.vitals.forget(upstream)
+	r.activity.forget(upstream)
 }
 
-// UpdateUpstreams takes in the list of upstreams.
+// UpdateUpstreams applies a new list of upstreams.
 func (r *Relayer) UpdateUpstreams(listed []cataloguer.Upstream) {
-	r.avoider.update(listed, time.Now())
+	r.avoidList.update(listed, time.Now())
 }
 
-// AvoidedUpstreams counts the upstreams that have asked this node for no more requests.
+// AvoidedUpstreams counts the upstreams that asked this node to send no requests.
 func (r *Relayer) AvoidedUpstreams() AvoidedUpstreams {
-	return r.avoider.counts(time.Now())
+	return r.avoidList.counts(time.Now())
 }
 
 // ServeHTTP implements http.Handler.
@@ -148,14 +150,14 @@
 	arrived := time.Now()
 
 	if r.options.LeavingFor() > 0 {
-		// The caller shall use another node from now on.
+		// Makes the caller use another node for its next request.
 		w.Header().Set("Connection", "close")
 	}
 
-	held := &reservation{total: &r.bodies, most: r.options.MaxBodyMemory}
-	defer held.release()
+	memory := &memoryReservation{used: &r.bodyBytes, limit: r.options.MaxBodyMemory}
+	defer memory.release()
 
-	request, failure := r.accept(w, incoming, arrived, held)
+	request, failure := r.accept(w, incoming, arrived, memory)
 	if failure != nil {
 		r.refuse(w, incoming.Header.Get(r.options.Headers.RequestID), nil, failure)
 
@@ -170,75 +172,75 @@
 		return
 	}
 
-	ctx, cancel := context.WithDeadline(incoming.Context(), request.limit)
+	ctx, cancel := context.WithDeadline(incoming.Context(), request.deadline)
 	defer cancel()
 
-	_ = http.NewResponseController(w).SetWriteDeadline(request.limit.Add(writeGrace))
+	_ = http.NewResponseController(w).SetWriteDeadline(request.deadline.Add(writeGrace))
 
-	a := &answer{writer: w, request: request}
+	a := &callerResponse{writer: w, request: request}
 
 	r.options.Meter.Started(request.route.Name)
-	defer r.settle(a)
+	defer r.recordCompletion(a)
 
 	r.relay(ctx, a)
 }
 
-// relay sends the request until it is answered or given up on.
-func (r *Relayer) relay(ctx context.Context, a *answer) {
+// relay sends the request until it gets a response or may not be retried.
+func (r *Relayer) relay(ctx context.Context, a *callerResponse) {
 	request := a.request
 
-	defer func() { request.extra.Cancel() }()
+	defer func() { request.retryPermit.Cancel() }()
 
 	for request.sends < maxSends {
-		asked := time.Now()
+		chooseStart := time.Now()
 
 		choice, ok := r.choose(ctx, request)
-		a.account.queued += time.Since(asked)
+		a.stats.queueTime += time.Since(chooseStart)
 
 		if !ok {
 			break
 		}
 
-		a.account.choice = choice
+		a.stats.choice = choice
 
 		if r.quarantined(request) {
-			// It was found out while the request waited.
-			r.options.Chooser.RecordEnd(request.workID(), balancer.Abandoned)
+			// It was quarantined while it waited for an upstream.
+			r.options.Chooser.RecordEnd(request.attemptID(), balancer.Abandoned)
 
 			break
 		}
 
-		if r.avoider.avoids(choice.Upstream, time.Now()) {
-			// The choice was made before the upstream said so, or by a node that doesn't know.
-			r.options.Chooser.RecordEnd(request.workID(), balancer.Abandoned)
+		if r.avoidList.contains(choice.Upstream, time.Now()) {
+			// The choice was made before the upstream asked for no more requests, or by a node that doesn't know of it.
+			r.options.Chooser.RecordEnd(request.attemptID(), balancer.Abandoned)
 			r.options.FailedAttempts.Add("choice_declined", 1)
 
 			request.declined++
-			if request.declined == mostDeclined {
+			if request.declined == maxDeclined {
 				break
 			}
 
 			continue
 		}
 
-		if !r.renewExtra(ctx, request) {
-			r.options.Chooser.RecordEnd(request.workID(), balancer.Abandoned)
+		if !r.renewRetryPermit(ctx, request) {
+			r.options.Chooser.RecordEnd(request.attemptID(), balancer.Abandoned)
 
 			break
 		}
 
-		verdict := r.attempt(ctx, a, choice)
-		if verdict == done {
+		result := r.attempt(ctx, a, choice)
+		if result == attemptDone {
 			return
 		}
 
-		if a.kept != nil && verdict == unsure && !r.mayRepeat(ctx, request) {
+		if a.buffered != nil && result == attemptUnknown && !r.mayRepeat(ctx, request) {
 			break
 		}
 
 		request.excluded = append(request.excluded, choice.Upstream)
 
-		if !r.shouldRetry(ctx, request, verdict) {
+		if !r.shouldRetry(ctx, request, result) {
 			break
 		}
 	}
@@ -246,23 +248,24 @@
 	r.giveUp(ctx, a)
 }
 
-// choose asks for an upstream and counts the request there.
+// choose requests an upstream for the next attempt.
 func (r *Relayer) choose(ctx context.Context, request *request) (balancer.Choice, bool) {
-	avoided, rest := r.avoider.list(request.service, time.Now())
+	avoided, restRemaining := r.avoidList.unavailable(request.service, time.Now())
 
-	request.asks++
+	request.chooseCalls++
 
-	work := request.work
-	work.ID = request.workID()
-	work.Excluded = slices.Concat(request.excluded, avoided)
-	work.Limit = time.Until(request.limit)
+	poolRequest := request.poolRequest
+	poolRequest.ID = request.attemptID()
+	poolRequest.Excluded = slices.Concat(request.excluded, avoided)
+	poolRequest.Limit = time.Until(request.deadline)
 
-	choice, ok := r.options.Chooser.Choose(ctx, request.service, work)
+	choice, ok := r.options.Chooser.Choose(ctx, request.service, poolRequest)
 	if !ok {
-		request.queueAhead = max(time.Duration(choice.Waiting*float64(time.Millisecond)), rest)
-		// The final answer has a line of its own; under overload two for each refusal would double the log.
+		request.queueDrainTime = max(time.Duration(choice.Waiting*float64(time.Millisecond)), restRemaining)
+		// Logged at debug level, since the final response is logged as well: under overload, two lines for each refusal
+		// would double the log.
 		r.options.Logger.Debug().Str("request_id", request.id).Str("service", request.service).
-			Strs("excluded", work.Excluded).Float64("queue_ms", choice.Waiting).Msg("no_upstream")
+			Strs("excluded", poolRequest.Excluded).Float64("queue_ms", choice.Waiting).Msg("no_upstream")
 
 		return choice, false
 	}
@@ -274,33 +277,34 @@
 	return choice, true
 }
 
-// mayRepeat says whether a request that may have run can be run once more.
+// mayRepeat reports whether a request that may have run may be run again.
 func (r *Relayer) mayRepeat(ctx context.Context, request *request) bool {
 	return request.route.Repeatable() && request.runs < request.route.Attempts && request.sends < maxSends && ctx.Err() == nil
 }
 
-// shouldRetry decides whether the request is sent once more, and takes that from the budget.
-func (r *Relayer) shouldRetry(ctx context.Context, request *request, verdict verdict) bool {
+// shouldRetry reports whether the request is sent again, and acquires a permit from the retry budget for it.
+func (r *Relayer) shouldRetry(ctx context.Context, request *request, result attemptResult) bool {
 	if ctx.Err() != nil || request.sends >= maxSends {
 		return false
 	}
 
-	if verdict == unsure && !r.mayRepeat(ctx, request) {
+	if result == attemptUnknown && !r.mayRepeat(ctx, request) {
 		return false
 	}
 
-	if !r.payExtra(ctx, request) {
+	if !r.acquireRetryPermit(ctx, request) {
 		return false
 	}
 
-	r.options.Meter.Retried(request.route.Name, verdict.String())
+	r.options.Meter.Retried(request.route.Name, result.String())
 
 	return true
 }
 
-// payExtra pays for one more attempt of a request. One of which no byte has left yet cost the upstreams nothing.
-func (r *Relayer) payExtra(ctx context.Context, request *request) bool {
-	if request.arrivals == 0 {
+// acquireRetryPermit acquires a permit for another attempt from the retry budget. If no attempt may have reached an
+// upstream, none is needed, since the request has cost the upstreams nothing so far.
+func (r *Relayer) acquireRetryPermit(ctx context.Context, request *request) bool {
+	if request.possibleArrivals == 0 {
 		return true
 	}
 
@@ -312,41 +316,42 @@
 		return false
 	}
 
-	request.extra = charge
+	request.retryPermit = charge
 
 	return true
 }
 
-// renewExtra pays anew where what was borrowed for the attempt ran out while it waited for an upstream.
-func (r *Relayer) renewExtra(ctx context.Context, request *request) bool {
-	if request.extra.Usable() {
+// renewRetryPermit acquires a new permit if the attempt's permit was borrowed and expired while the request waited for
+// an upstream.
+func (r *Relayer) renewRetryPermit(ctx context.Context, request *request) bool {
+	if request.retryPermit.Usable() {
 		return true
 	}
 
-	request.extra.Cancel()
+	request.retryPermit.Cancel()
 
-	return r.payExtra(ctx, request)
+	return r.acquireRetryPermit(ctx, request)
 }
 
-// giveUp gives the final answer to a request that no upstream answered.
-func (r *Relayer) giveUp(ctx context.Context, a *answer) {
+// giveUp writes the final response to a request that no upstream completed.
+func (r *Relayer) giveUp(ctx context.Context, a *callerResponse) {
 	request := a.request
 
 	switch {
 	case errors.Is(context.Cause(ctx), context.Canceled):
-		a.account.code = classifier.CallerGone
+		a.stats.code = classifier.CallerGone
 		r.options.Meter.Refused(request.route.Name, classifier.CallerGone)
 		panic(http.ErrAbortHandler)
-	case a.begun:
-		// Headers have left: only a broken connection tells the caller that the answer isn't whole.
-		a.account.code = classifier.StreamBroken
+	case a.headerSent:
+		// The header was sent, so only closing the connection shows the caller that the response is incomplete.
+		a.stats.code = classifier.StreamBroken
 		r.options.Meter.Refused(request.route.Name, classifier.StreamBroken)
 		r.options.Logger.Warn().Str("request_id", request.id).Str("route", request.route.Name).
-			Int("sends", request.sends).Str("last_event", request.lastEvent).Msg("stream_broken")
+			Int("sends", request.sends).Str("last_event", request.lastEventID).Msg("stream_broken")
 		panic(http.ErrAbortHandler)
-	case a.kept != nil:
-		a.account.code = classifier.UpstreamFailed
-		a.writeKept()
+	case a.buffered != nil:
+		a.stats.code = classifier.UpstreamFailed
+		a.writeBuffered()
 	case request.quarantined > 0 && request.runs == 0:
 		r.fail(a, quarantiner.Refusal(request.quarantined))
 	case request.runs > 0 && ctx.Err() != nil:
@@ -358,17 +363,19 @@
 	}
 }
 
-// quarantined says whether the request must not run, and notes for how long. Its caller sends it again under another id and
-// at any node, and each run costs an upstream with all that runs there.
+// quarantined reports whether the request must not run, and stores for how long. The quarantine is by content and holds
+// on all nodes: the caller resends such a request with another ID to any node, and each run crashes an upstream with
+// all requests running there.
 func (r *Relayer) quarantined(request *request) bool {
-	left, held := r.options.Quarantine.Check(request.key)
-	if held {
-		request.quarantined = left
+	remaining, quarantined := r.options.Quarantine.Check(request.key)
+	if quarantined {
+		request.quarantined = remaining
 	}
 
-	return held
+	return quarantined
 }
 
-func later() time.Duration {
-	return retryAfterLater + rand.N(retryAfterLater)
+// jitteredRetryAfter returns longRetryAfter plus random jitter.
+func jitteredRetryAfter() time.Duration {
+	return longRetryAfter + rand.N(longRetryAfter)
 }
--- a/internal/gateway/relayer/relayer_test.go
+++ b/internal/gateway/relayer/relayer_test.go
@@ -34,8 +34,8 @@
 	Reserved: []string{"X-Hold"},
 }
 
-// upstream is a stand-in that answers by a function and keeps what it got.
-type upstream struct {
+// fakeUpstream is a server that responds with a handler function and records its requests.
+type fakeUpstream struct {
 	name    string
 	address string
 
@@ -44,46 +44,46 @@
 	bodies   []string
 }
 
-func (u *upstream) count() int {
+func (u *fakeUpstream) count() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 
 	return len(u.requests)
 }
 
-// world is a relayer with upstreams that are chosen in their order.
-type world struct {
+// fixture is a relayer with upstreams, which are chosen in the order in which they were added.
+type fixture struct {
 	t         *testing.T
-	upstreams []*upstream
+	upstreams []*fakeUpstream
 	server    *httptest.Server
 	relayer   *relayer.Relayer
 	catalog   *cataloguer.Catalog
 	now       time.Duration
 	leaving   time.Duration
-	// blind says that the chooser doesn't heed what is excluded.
-	blind      bool
-	quarantine relayer.Quarantine
-	usage      *usage
-	// bodies is what the relayer may hold of request bodies.
+	// ignoreExcluded makes Choose return excluded upstreams too.
+	ignoreExcluded bool
+	quarantine     relayer.Quarantine
+	usage          *usage
+	// bodies is the relayer's memory limit for request bodies.
 	bodies int64
 
-	// extra is the number of extra attempts.
+	// extra is the number of extra attempts in the retry budget.
 	extra int
 
 	mu       sync.Mutex
 	outcomes []string
 }
 
-func newWorld(t *testing.T, extra int) *world {
+func newFixture(t *testing.T, extra int) *fixture {
 	t.Helper()
 
-	return startWorld(t, extra, 1<<20)
+	return newFixtureWithBodyMemory(t, extra, 1<<20)
 }
 
-func startWorld(t *testing.T, extra int, bodies int64) *world {
+func newFixtureWithBodyMemory(t *testing.T, extra int, bodies int64) *fixture {
 	t.Helper()
 
-	w := &world{t: t, now: time.Hour, bodies: bodies, extra: extra, quarantine: noQuarantine{}, usage: &usage{counts: make(map[string]int)}}
+	w := &fixture{t: t, now: time.Hour, bodies: bodies, extra: extra, quarantine: noQuarantine{}, usage: &usage{counts: make(map[string]int)}}
 	w.catalog = cataloguer.New(func() time.Duration { return w.now })
 	w.catalog.Configure(configuration(), w.now)
 	w.restart()
@@ -91,8 +91,8 @@
 	return w
 }
 
-// restart starts a relayer that remembers nothing.
-func (w *world) restart() {
+// restart starts a new relayer without any state.
+func (w *fixture) restart() {
 	table := router.New(configuration())
 	handler := relayer.New(relayer.Options{
 		Headers: names, Catalog: w.catalog, Table: func() *router.Table { return table }, Chooser: w, Dialer: dialer.New(1000),
@@ -109,7 +109,7 @@
 	w.t.Cleanup(w.server.Close)
 }
 
-// usage counts requests that began to run by organisation.
+// usage counts started requests by organisation.
 type usage struct {
 	mu     sync.Mutex
 	counts map[string]int
@@ -157,9 +157,9 @@
 	}
 }
 
-// add starts an upstream. Its handler may take over the connection.
-func (w *world) add(handle http.HandlerFunc) *upstream {
-	u := &upstream{name: fmt.Sprint("u", len(w.upstreams))}
+// add starts an upstream with the handler.
+func (w *fixture) add(handle http.HandlerFunc) *fakeUpstream {
+	u := &fakeUpstream{name: fmt.Sprint("u", len(w.upstreams))}
 	server := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 
@@ -179,9 +179,9 @@
 }
 
 // Choose implements relayer.Chooser.
-func (w *world) Choose(_ context.Context, _ string, work balancer.Work) (balancer.Choice, bool) {
+func (w *fixture) Choose(_ context.Context, _ string, work balancer.Work) (balancer.Choice, bool) {
 	for _, u := range w.upstreams {
-		if w.blind || !strings.Contains(strings.Join(work.Excluded, " "), u.name) {
+		if w.ignoreExcluded || !strings.Contains(strings.Join(work.Excluded, " "), u.name) {
 			return balancer.Choice{Upstream: u.name, Address: u.address}, true
 		}
 	}
@@ -190,23 +190,23 @@
 }
 
 // RecordFirstEvent implements relayer.Chooser.
-func (w *world) RecordFirstEvent(string, *balancer.Load) {}
+func (w *fixture) RecordFirstEvent(string, *balancer.Load) {}
 
 // RecordGaps implements relayer.Chooser.
-func (w *world) RecordGaps(string, balancer.Pauses) {}
+func (w *fixture) RecordGaps(string, balancer.Pauses) {}
 
 // MarkLeaving implements relayer.Chooser.
-func (w *world) MarkLeaving(string) {}
+func (w *fixture) MarkLeaving(string) {}
 
 // RecordEnd implements relayer.Chooser.
-func (w *world) RecordEnd(_ string, outcome balancer.Outcome) {
+func (w *fixture) RecordEnd(_ string, outcome balancer.Outcome) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 
 	w.outcomes = append(w.outcomes, fmt.Sprint(outcome))
 }
 
-func (w *world) send(path string, change func(*http.Request)) (*http.Response, string, error) {
+func (w *fixture) send(path string, change func(*http.Request)) (*http.Response, string, error) {
 	request, err := http.NewRequest(http.MethodPost, w.server.URL+path, strings.NewReader("body"))
 	assert.NilError(w.t, err)
 	request.Host = "shop.example"
@@ -230,7 +230,7 @@
 
 func sign(rw http.ResponseWriter) { rw.Header().Set(names.Signature, "sig") }
 
-func answers(status int, body string) http.HandlerFunc {
+func respondWith(status int, body string) http.HandlerFunc {
 	return func(rw http.ResponseWriter, _ *http.Request) {
 		sign(rw)
 		rw.WriteHeader(status)
@@ -238,18 +238,19 @@
 	}
 }
 
-func refuses(status int) http.HandlerFunc {
+func rejectWith(status int) http.HandlerFunc {
 	return func(rw http.ResponseWriter, _ *http.Request) {
 		rw.Header().Set(names.NotRun, "1")
 		rw.WriteHeader(status)
 	}
 }
 
-// breaks closes the connection without an answer.
-func breaks(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
+// dropConnection closes the connection without a response.
+func dropConnection(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
-// events streams events with the given ids and then ends soundly or breaks off.
-func events(sound bool, ids ...int) http.HandlerFunc {
+// streamEvents sends events with the given IDs and then ends the stream or, unless complete, drops the connection in the
+// middle of an event.
+func streamEvents(complete bool, ids ...int) http.HandlerFunc {
 	return func(rw http.ResponseWriter, _ *http.Request) {
 		sign(rw)
 		rw.Header().Set("Content-Type", "text/event-stream")
@@ -258,7 +259,7 @@
 			_, _ = fmt.Fprintf(rw, "id: %d\ndata: piece %d\n\n", id, id)
 		}
 
-		if !sound {
+		if !complete {
 			_, _ = io.WriteString(rw, "id: 99\ndata: to")
 			_ = http.NewResponseController(rw).Flush()
 			panic(http.ErrAbortHandler)
@@ -266,9 +267,9 @@
 	}
 }
 
-func TestRequestIsPassedOnUnchanged(t *testing.T) {
-	w := newWorld(t, 0)
-	u := w.add(answers(http.StatusCreated, "made"))
+func TestRequestIsForwardedUnchanged(t *testing.T) {
+	w := newFixture(t, 0)
+	u := w.add(respondWith(http.StatusCreated, "made"))
 
 	response, body, err := w.send("/book/a%2Fb?x=1;y", func(r *http.Request) {
 		r.Header.Set("X-Custom", "kept")
@@ -297,12 +298,11 @@
 	}
 }
 
-// Symptom: a booking is made twice.
-// Sequence: an upstream runs it and its answer is lost.
-// Cause: a lost answer was taken for a lost request.
+// Guards against running a request twice that is not repeatable: an upstream runs it, the response is lost, and the
+// request is retried as if it had been lost itself.
 func TestNotRepeatableRequestIsSentOnceWhenItsAnswerIsLost(t *testing.T) {
-	w := newWorld(t, 10)
-	first, second := w.add(breaks), w.add(answers(http.StatusOK, "twice"))
+	w := newFixture(t, 10)
+	first, second := w.add(dropConnection), w.add(respondWith(http.StatusOK, "twice"))
 
 	response, _, err := w.send("/book/1", nil)
 	assert.NilError(t, err)
@@ -314,9 +314,9 @@
 
 func TestNotRepeatableRequestThatWasNotRunIsSentElsewhere(t *testing.T) {
 	for _, status := range []int{http.StatusServiceUnavailable, http.StatusMisdirectedRequest} {
-		w := newWorld(t, 10)
-		w.add(refuses(status))
-		second := w.add(answers(http.StatusOK, "once"))
+		w := newFixture(t, 10)
+		w.add(rejectWith(status))
+		second := w.add(respondWith(http.StatusOK, "once"))
 
 		_, body, err := w.send("/book/1", nil)
 		assert.NilError(t, err)
@@ -325,27 +325,27 @@
 	}
 }
 
-// Symptom: a caller is told that its request has not run, and it runs.
-// Sequence: all upstreams refuse; the node refuses with a time to come back.
+// Guards against a refusal with Retry-After for a request that may have run: after a lost response, the remaining
+// upstreams refuse the request.
 func TestRefusalSaysNotRunOnlyIfNothingRan(t *testing.T) {
-	w := newWorld(t, 10)
-	w.add(refuses(http.StatusServiceUnavailable))
+	w := newFixture(t, 10)
+	w.add(rejectWith(http.StatusServiceUnavailable))
 	response, _, err := w.send("/price/1", nil)
 	assert.NilError(t, err)
 	assert.Equal(t, response.StatusCode, http.StatusServiceUnavailable)
 	assert.Assert(t, response.Header.Get("Retry-After") != "")
 
-	w = newWorld(t, 10)
-	w.add(breaks)
-	w.add(refuses(http.StatusServiceUnavailable))
+	w = newFixture(t, 10)
+	w.add(dropConnection)
+	w.add(rejectWith(http.StatusServiceUnavailable))
 	response, _, err = w.send("/price/1", nil)
 	assert.NilError(t, err)
 	assert.Equal(t, response.StatusCode, http.StatusBadGateway)
 }
 
-func TestIdempotentRequestIsRepeatedAfterFailures(t *testing.T) {
+func TestIdempotentRequestIsRetriedAfterFailures(t *testing.T) {
 	for name, fails := range map[string]http.HandlerFunc{
-		"error": answers(http.StatusInternalServerError, "oh"), "broken": breaks,
+		"error": respondWith(http.StatusInternalServerError, "oh"), "broken": dropConnection,
 		"unsigned": func(rw http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(rw, "not its own") },
 		"torn": func(rw http.ResponseWriter, _ *http.Request) {
 			sign(rw)
@@ -354,9 +354,9 @@
 			panic(http.ErrAbortHandler)
 		},
 	} {
-		w := newWorld(t, 10)
+		w := newFixture(t, 10)
 		w.add(fails)
-		w.add(answers(http.StatusOK, "whole"))
+		w.add(respondWith(http.StatusOK, "whole"))
 
 		_, body, err := w.send("/price/1", nil)
 		assert.NilError(t, err, name)
@@ -364,33 +364,33 @@
 	}
 }
 
-// Guards against usage that counts a request for each of its attempts, or leaves out one that ran and failed.
+// Guards against usage that counts a request once for each attempt, or omits one that ran and failed.
 func TestUsageCountsARequestOnceIfItMayHaveRun(t *testing.T) {
 	tests := map[string]struct {
 		path  string
 		first http.HandlerFunc
 		want  int
 	}{
-		"served":            {"/price/1", answers(http.StatusOK, "whole"), 1},
-		"failed and sent":   {"/price/1", answers(http.StatusInternalServerError, "oh"), 1},
-		"broken and sent":   {"/price/1", breaks, 1},
-		"failed for good":   {"/book/1", answers(http.StatusInternalServerError, "oh"), 1},
-		"refused and sent":  {"/book/1", refuses(http.StatusServiceUnavailable), 1},
-		"answer was lost":   {"/book/1", breaks, 1},
+		"served":            {"/price/1", respondWith(http.StatusOK, "whole"), 1},
+		"failed and sent":   {"/price/1", respondWith(http.StatusInternalServerError, "oh"), 1},
+		"broken and sent":   {"/price/1", dropConnection, 1},
+		"failed for good":   {"/book/1", respondWith(http.StatusInternalServerError, "oh"), 1},
+		"refused and sent":  {"/book/1", rejectWith(http.StatusServiceUnavailable), 1},
+		"answer was lost":   {"/book/1", dropConnection, 1},
 		"key of nobody":     {"/price/1", nil, 0},
-		"refused elsewhere": {"/price/1", refuses(http.StatusServiceUnavailable), 0},
+		"refused elsewhere": {"/price/1", rejectWith(http.StatusServiceUnavailable), 0},
 	}
 
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t, 10)
+			w := newFixture(t, 10)
 
 			if test.first != nil {
 				w.add(test.first)
 			}
 
 			if test.want > 0 {
-				w.add(answers(http.StatusOK, "whole"))
+				w.add(respondWith(http.StatusOK, "whole"))
 			}
 
 			_, _, err := w.send(test.path, func(r *http.Request) {
@@ -410,10 +410,10 @@
 	}
 }
 
-func TestUpstreamsOwnFailureIsPassedOnWhenNothingElseIsLeft(t *testing.T) {
-	w := newWorld(t, 10)
-	w.add(answers(http.StatusInternalServerError, "first"))
-	w.add(answers(http.StatusInternalServerError, "second"))
+func TestUpstreamErrorIsReturnedWhenNoAttemptSucceeds(t *testing.T) {
+	w := newFixture(t, 10)
+	w.add(respondWith(http.StatusInternalServerError, "first"))
+	w.add(respondWith(http.StatusInternalServerError, "second"))
 
 	response, body, err := w.send("/price/1", nil)
 	assert.NilError(t, err)
@@ -422,10 +422,10 @@
 	assert.Equal(t, response.Header.Get(names.Signature), "sig")
 }
 
-func TestSpentBudgetEndsRepeats(t *testing.T) {
-	w := newWorld(t, 0)
-	w.add(answers(http.StatusInternalServerError, "first"))
-	second := w.add(answers(http.StatusOK, "second"))
+func TestExhaustedRetryBudgetStopsRetries(t *testing.T) {
+	w := newFixture(t, 0)
+	w.add(respondWith(http.StatusInternalServerError, "first"))
+	second := w.add(respondWith(http.StatusOK, "second"))
 
 	_, body, err := w.send("/price/1", nil)
 	assert.NilError(t, err)
@@ -433,13 +433,13 @@
 	assert.Equal(t, second.count(), 0)
 }
 
-// Symptom: a resumed stream has a torn piece, a missing one or one twice.
-// Sequence: an upstream breaks off in the middle of event 99 after event 2; the next one begins again at 2.
-// Cause: bytes were passed on as they came, not event by event.
+// Guards against partial, missing or duplicate events in a resumed stream: an upstream drops the connection in the
+// middle of event 99 after event 2, and the next one restarts at event 2. This happens if the stream is relayed byte by
+// byte instead of event by event.
 func TestBrokenStreamGoesOnAtAnotherUpstream(t *testing.T) {
-	w := newWorld(t, 10)
-	w.add(events(false, 1, 2))
-	second := w.add(events(true, 2, 3, 4))
+	w := newFixture(t, 10)
+	w.add(streamEvents(false, 1, 2))
+	second := w.add(streamEvents(true, 2, 3, 4))
 
 	response, body, err := w.send("/chat/1", nil)
 	assert.NilError(t, err)
@@ -448,12 +448,12 @@
 	assert.Equal(t, body, "id: 1\ndata: piece 1\n\nid: 2\ndata: piece 2\n\nid: 3\ndata: piece 3\n\nid: 4\ndata: piece 4\n\n")
 }
 
-// Symptom: half a stream looks like a whole one.
-// Sequence: a stream that may not be resumed breaks off.
-func TestBrokenStreamThatMayNotBeResumedIsBrokenForTheCaller(t *testing.T) {
-	w := newWorld(t, 10)
-	w.add(events(false, 1, 2))
-	second := w.add(events(true, 1))
+// Guards against an incomplete stream that looks complete to the caller after a stream that is not resumable was
+// interrupted.
+func TestInterruptedStreamThatIsNotResumableBreaksForTheCaller(t *testing.T) {
+	w := newFixture(t, 10)
+	w.add(streamEvents(false, 1, 2))
+	second := w.add(streamEvents(true, 1))
 
 	_, _, err := w.send("/advice/1", nil)
 	assert.Assert(t, err != nil)
@@ -461,8 +461,8 @@
 }
 
 func TestCallerMayResumeItsStream(t *testing.T) {
-	w := newWorld(t, 10)
-	u := w.add(events(true, 8, 9))
+	w := newFixture(t, 10)
+	u := w.add(streamEvents(true, 8, 9))
 
 	_, body, err := w.send("/chat/1", func(r *http.Request) { r.Header.Set(names.LastEventID, "7") })
 	assert.NilError(t, err)
@@ -475,7 +475,7 @@
 		name   string
 		path   string
 		change func(*http.Request)
-		before func(*world)
+		before func(*fixture)
 		want   int
 	}{
 		{name: "no route", path: "/none/1", want: http.StatusNotFound},
@@ -490,12 +490,12 @@
 		{name: "long body in chunks", path: "/price/1", change: func(r *http.Request) {
 			r.Body, r.ContentLength = io.NopCloser(strings.NewReader(strings.Repeat("x", 2000))), -1
 		}, want: http.StatusRequestEntityTooLarge},
-		{name: "keys known too long ago", path: "/price/1", before: func(w *world) { w.now += 5 * time.Second }, want: http.StatusServiceUnavailable},
-		{name: "node leaves", path: "/price/1", before: func(w *world) { w.leaving = 2 * time.Second }, want: http.StatusServiceUnavailable},
+		{name: "keys known too long ago", path: "/price/1", before: func(w *fixture) { w.now += 5 * time.Second }, want: http.StatusServiceUnavailable},
+		{name: "node leaves", path: "/price/1", before: func(w *fixture) { w.leaving = 2 * time.Second }, want: http.StatusServiceUnavailable},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := newWorld(t, 10)
-			u := w.add(answers(http.StatusOK, "ran"))
+			w := newFixture(t, 10)
+			u := w.add(respondWith(http.StatusOK, "ran"))
 
 			if c.before != nil {
 				c.before(w)
@@ -511,8 +511,8 @@
 }
 
 func TestLeavingNodeServesAndClosesTheConnection(t *testing.T) {
-	w := newWorld(t, 10)
-	w.add(answers(http.StatusOK, "served"))
+	w := newFixture(t, 10)
+	w.add(respondWith(http.StatusOK, "served"))
 	w.leaving = 500 * time.Millisecond
 
 	response, body, err := w.send("/price/1", nil)
@@ -521,10 +521,9 @@
 	assert.Assert(t, response.Close)
 }
 
-// Symptom: upstreams work on for callers who left.
-// Sequence: a caller closes its connection while its stream runs.
+// Guards against an upstream that keeps working for a caller that closed its connection during a stream.
 func TestUpstreamIsLeftWhenTheCallerLeaves(t *testing.T) {
-	w := newWorld(t, 10)
+	w := newFixture(t, 10)
 	left := make(chan struct{})
 	w.add(func(rw http.ResponseWriter, r *http.Request) {
 		sign(rw)
@@ -545,20 +544,20 @@
 	<-left
 }
 
-// Guards against: a choice that was made before the upstream said that it leaves is used after it.
+// Guards against using a choice that was made before the upstream announced that it is leaving.
 func TestChoiceOfALeavingUpstreamIsDeclined(t *testing.T) {
-	w := newWorld(t, 9)
-	w.blind = true
+	w := newFixture(t, 9)
+	w.ignoreExcluded = true
 	leaving := w.add(func(rw http.ResponseWriter, _ *http.Request) {
 		rw.Header().Set(names.Leaving, "1")
-		answers(http.StatusOK, "last")(rw, nil)
+		respondWith(http.StatusOK, "last")(rw, nil)
 	})
 
 	_, body, err := w.send("/price/1", nil)
 	assert.NilError(t, err)
 	assert.Equal(t, body, "last")
 
-	// Whoever chooses doesn't know; the request is refused and was not sent.
+	// The chooser doesn't know that the upstream is leaving; the request is refused without being sent.
 	response, _, err := w.send("/price/1", nil)
 	assert.NilError(t, err)
 	assert.Equal(t, response.StatusCode, http.StatusServiceUnavailable)
@@ -567,16 +566,16 @@
 	assert.Equal(t, w.outcomes[len(w.outcomes)-1], fmt.Sprint(balancer.Abandoned))
 }
 
-// Guards against: the rest of a broken stream is fetched from an upstream that leaves or wants rest.
-func TestBrokenStreamGoesOnWhereItIsWanted(t *testing.T) {
-	w := newWorld(t, 9)
+// Guards against resuming an interrupted stream at an upstream that is leaving or resting.
+func TestResumedStreamAvoidsRestingUpstreams(t *testing.T) {
+	w := newFixture(t, 9)
 
 	resting := w.add(func(rw http.ResponseWriter, _ *http.Request) {
 		rw.Header().Set("Retry-After", "30")
-		refuses(http.StatusServiceUnavailable)(rw, nil)
+		rejectWith(http.StatusServiceUnavailable)(rw, nil)
 	})
-	w.add(events(false, 1, 2))
-	w.add(events(true, 3, 4))
+	w.add(streamEvents(false, 1, 2))
+	w.add(streamEvents(true, 3, 4))
 
 	for range 2 {
 		_, body, err := w.send("/chat/1", nil)
@@ -588,10 +587,10 @@
 	assert.Equal(t, w.relayer.AvoidedUpstreams(), relayer.AvoidedUpstreams{Resting: 1})
 }
 
-// Guards against: a request that is found to crash upstreams while it waits is sent all the same, or told to have run.
+// Guards against sending a request that was quarantined while it waited for an upstream, or reporting that it ran.
 func TestRequestThatIsQuarantinedWhileItWaitsIsNotSent(t *testing.T) {
-	w := newWorld(t, 9)
-	u := w.add(answers(http.StatusOK, "never"))
+	w := newFixture(t, 9)
+	u := w.add(respondWith(http.StatusOK, "never"))
 	w.quarantine = &quarantineAfter{checks: 1}
 	w.restart()
 
@@ -603,7 +602,7 @@
 	assert.Equal(t, u.count(), 0)
 }
 
-// quarantineAfter holds every request from some check on.
+// quarantineAfter quarantines every request after the given number of checks.
 type quarantineAfter struct {
 	noQuarantine
 
--- a/internal/gateway/relayer/request.go
+++ b/internal/gateway/relayer/request.go
@@ -21,20 +21,20 @@
 )
 
 const (
-	// defaultLimit is the time of a request whose caller and route name none.
-	defaultLimit = 30 * time.Second
-	// startWait is how long requests wait for a node that has just started to learn its routes, and
-	// startTick how often they look.
-	startWait = 300 * time.Millisecond
-	startTick = 5 * time.Millisecond
-	// retryAfterPart is the part of its time left that a caller is told to wait at most. Callers don't wait longer
-	// than for a third of it.
-	retryAfterPart = 0.3
-	// leastAttemptTimeout keeps a short target from giving up on an upstream that is merely busy.
-	leastAttemptTimeout = 400 * time.Millisecond
+	// defaultTimeout is the time limit of a request for which neither the caller nor the route sets one.
+	defaultTimeout = 30 * time.Second
+	// routesTimeout is how long requests wait for a newly started node to load its routes, and
+	// routesPollInterval how often they check.
+	routesTimeout      = 300 * time.Millisecond
+	routesPollInterval = 5 * time.Millisecond
+	// maxRetryAfterFraction limits Retry-After to a fraction of the request's remaining time. Callers don't wait longer
+	// than a third of it.
+	maxRetryAfterFraction = 0.3
+	// minAttemptTimeout prevents a short latency target from timing out an upstream that is merely busy.
+	minAttemptTimeout = 400 * time.Millisecond
 )
 
-// request is one request of a caller on its way.
+// request is a caller's request that was accepted.
 type request struct {
 	id           string
 	arrived      time.Time
@@ -44,92 +44,92 @@
 	method       string
 	host         string
 	uri          string
-	// header has no field that concerns one connection or that only nodes may set.
+	// header excludes hop-by-hop fields and those that only nodes may set.
 	header http.Header
 	body   []byte
-	// held is the memory that the body takes.
-	held *reservation
-	// limit is when the final answer is due.
-	limit time.Time
-	work  balancer.Work
-	// rank is what engines are told.
-	rank int
-
-	// key is the same for each attempt of a caller at the same request.
+	// bodyMemory is the memory reserved for the body.
+	bodyMemory *memoryReservation
+	// deadline is when the final response is due.
+	deadline    time.Time
+	poolRequest balancer.Work
+	// engineRank is the priority that is sent to engines.
+	engineRank int
+
+	// key identifies the request by content; it stays the same when a caller sends the request again.
 	key quarantiner.Key
-	// quarantined is how much longer it must not run; 0 if it may.
+	// quarantined is how much longer the request must not run; 0 if it may run.
 	quarantined time.Duration
-	// unique tells requests apart whose callers gave them the same id.
-	unique string
-	// sends counts attempts, runs those that may have run.
+	// uniqueID distinguishes requests to which callers gave the same ID.
+	uniqueID string
+	// sends counts attempts, runs the attempts that an upstream may have run.
 	sends, runs int
-	// arrivals counts the attempts that may have reached an upstream. Each but the first is an extra one.
-	arrivals int
-	// late says that one of them got no answer, so that it may arrive after those behind it.
-	late bool
-	// extra pays for the next attempt; nil if that costs nothing.
-	extra *budgeter.Charge
-	// asks counts the times that an upstream was asked for, declined the choices that were not used.
-	asks, declined int
-	excluded       []string
-	// queueAhead is how long the queue that refused the request takes to drain.
-	queueAhead time.Duration
-	// lastEvent is the id of the last event that the caller has; empty before the first.
-	lastEvent string
+	// possibleArrivals counts the attempts that may have reached an upstream. Each but the first is an extra attempt.
+	possibleArrivals int
+	// unanswered is true if one of those attempts got no response, so that it may arrive after later ones.
+	unanswered bool
+	// retryPermit covers the next attempt in the retry budget; nil if none is needed.
+	retryPermit *budgeter.Charge
+	// chooseCalls counts the requests for an upstream, declined the choices that were not used.
+	chooseCalls, declined int
+	excluded              []string
+	// queueDrainTime is how long the queue that refused the request takes to drain.
+	queueDrainTime time.Duration
+	// lastEventID is the ID of the last event that the caller received; empty before the first.
+	lastEventID string
 }
 
-// workID names the present attempt.
-func (r *request) workID() string {
-	return r.unique + "." + strconv.Itoa(r.asks)
+// attemptID returns the ID of the current attempt, which is unique among all nodes.
+func (r *request) attemptID() string {
+	return r.uniqueID + "." + strconv.Itoa(r.chooseCalls)
 }
 
-// settleExtra tells the budget how an attempt went.
-func (r *request) settleExtra(err error) {
+// settleRetryPermit reports the result of an attempt to the retry budget.
+func (r *request) settleRetryPermit(err error) {
 	if errors.Is(err, dialer.ErrNotSent) {
-		r.extra.Cancel()
-		r.extra = nil
+		r.retryPermit.Cancel()
+		r.retryPermit = nil
 
 		return
 	}
 
-	r.arrivals++
-	r.late = r.late || err != nil
-	r.extra.Settle(!r.late)
-	r.extra = nil
+	r.possibleArrivals++
+	r.unanswered = r.unanswered || err != nil
+	r.retryPermit.Settle(!r.unanswered)
+	r.retryPermit = nil
 }
 
-// attemptTimeout is how long the request waits for a sign of life of its upstream before another one is tried.
+// attemptTimeout returns how long an attempt waits for activity of its upstream before another upstream is tried.
 func (r *request) attemptTimeout() time.Duration {
 	if r.route.Kind == cataloguer.Stream {
 		return max(time.Second, 2*r.route.Target, 4*r.route.GapLimit)
 	}
 
-	return max(leastAttemptTimeout, 3*r.route.Target)
+	return max(minAttemptTimeout, 3*r.route.Target)
 }
 
-// retryAfter is when a request that found no upstream should come again: when the queue that it met is through, or
-// after as long as it had to wait, so that callers return more slowly the longer the queue is, but early enough
-// for its caller to do it.
+// retryAfter returns the Retry-After of a request that found no upstream: at least the time until the queue drains and
+// the time that the request has waited, so that callers return more slowly the longer the queue is. It is bounded so
+// that the caller can still retry within its time.
 func (r *request) retryAfter() time.Duration {
-	wait := max(time.Since(r.arrived), r.queueAhead)
-	most := time.Duration(retryAfterPart * float64(time.Until(r.limit)))
+	wait := max(time.Since(r.arrived), r.queueDrainTime)
+	maxWait := time.Duration(maxRetryAfterFraction * float64(time.Until(r.deadline)))
 
-	return max(min(later()+wait, most), retryAfterSoon)
+	return max(min(jitteredRetryAfter()+wait, maxWait), shortRetryAfter)
 }
 
-// accept reads the request and checks that it may run.
-func (r *Relayer) accept(w http.ResponseWriter, incoming *http.Request, arrived time.Time, held *reservation) (*request, *classifier.Error) {
-	table := r.awaitTable(incoming.Context())
+// accept reads and validates the caller's request.
+func (r *Relayer) accept(w http.ResponseWriter, incoming *http.Request, arrived time.Time, memory *memoryReservation) (*request, *classifier.Error) {
+	table := r.waitForRoutes(incoming.Context())
 	if table == nil {
-		return nil, classifier.New(classifier.SettingsUnavailable, "the node knows no configuration yet").After(later())
+		return nil, classifier.New(classifier.SettingsUnavailable, "the node knows no configuration yet").After(jitteredRetryAfter())
 	}
 
 	if leaving := r.options.LeavingFor(); leaving > r.options.LeavingGrace {
-		return nil, classifier.New(classifier.NodeLeaving, "the node is stopping").After(retryAfterSoon)
+		return nil, classifier.New(classifier.NodeLeaving, "the node is stopping").After(shortRetryAfter)
 	}
 
-	if bound := table.Limits.HeaderBytes; bound > 0 && headerBytes(incoming) > bound {
-		return nil, classifier.New(classifier.HeadersTooLarge, "the header has more than %d bytes", bound)
+	if maxBytes := table.Limits.HeaderBytes; maxBytes > 0 && headerBytes(incoming) > maxBytes {
+		return nil, classifier.New(classifier.HeadersTooLarge, "the header has more than %d bytes", maxBytes)
 	}
 
 	route, ok := table.Route(incoming.Host, incoming.URL.Path)
@@ -138,17 +138,17 @@
 	}
 
 	accepted := &request{
-		id:      incoming.Header.Get(r.options.Headers.RequestID),
-		arrived: arrived,
-		route:   route,
-		method:  incoming.Method,
-		host:    incoming.Host,
-		uri:     incoming.RequestURI,
-		header:  r.options.Headers.outgoing(incoming.Header),
-		unique:  uuid.NewString(),
-		held:    held,
-		// A caller that has part of a stream tells how far it got.
-		lastEvent: incoming.Header.Get(r.options.Headers.LastEventID),
+		id:         incoming.Header.Get(r.options.Headers.RequestID),
+		arrived:    arrived,
+		route:      route,
+		method:     incoming.Method,
+		host:       incoming.Host,
+		uri:        incoming.RequestURI,
+		header:     r.options.Headers.forUpstream(incoming.Header),
+		uniqueID:   uuid.NewString(),
+		bodyMemory: memory,
+		// A caller that resumes a stream sends the ID of the last event that it received.
+		lastEventID: incoming.Header.Get(r.options.Headers.LastEventID),
 	}
 
 	organisation, failure := r.authenticate(table, route, incoming)
@@ -166,12 +166,12 @@
 
 	accepted.service = router.Pick(route, accepted.id)
 	if accepted.service == "" {
-		return nil, classifier.New(classifier.NoUpstream, "the route has no service").After(later())
+		return nil, classifier.New(classifier.NoUpstream, "the route has no service").After(jitteredRetryAfter())
 	}
 
-	accepted.limit = arrived.Add(r.timeLimit(route, incoming))
-	accepted.rank = table.Rank(route, organisation).Engine
-	accepted.work = r.work(route, table.Rank(route, organisation), incoming.Header)
+	accepted.deadline = arrived.Add(r.callerTimeout(route, incoming))
+	accepted.engineRank = table.Rank(route, organisation).Engine
+	accepted.poolRequest = r.newPoolRequest(route, table.Rank(route, organisation), incoming.Header)
 
 	if failure := r.readBody(w, accepted, table.Limits, incoming); failure != nil {
 		return nil, failure
@@ -182,10 +182,10 @@
 	return accepted, nil
 }
 
-// awaitTable returns the routes in force. A node that has just started learns them within a few milliseconds;
-// after a loss of all nodes a refusal would send all callers away for longer than that.
-func (r *Relayer) awaitTable(ctx context.Context) *router.Table {
-	ctx, cancel := context.WithTimeout(ctx, startWait)
+// waitForRoutes returns the routes in force, or nil after a timeout. A newly started node loads them within a few
+// milliseconds; refusing requests until then would, after a restart of all nodes, delay all callers by more than that.
+func (r *Relayer) waitForRoutes(ctx context.Context) *router.Table {
+	ctx, cancel := context.WithTimeout(ctx, routesTimeout)
 	defer cancel()
 
 	for {
@@ -193,14 +193,14 @@
 			return table
 		}
 
-		if !sleeper.Sleep(ctx, startTick) {
+		if !sleeper.Sleep(ctx, routesPollInterval) {
 			return nil
 		}
 	}
 }
 
-// authenticate finds the organisation of the caller's key. What is known of keys must be fresh: a
-// node that could not learn that a key was taken away would go on serving it.
+// authenticate returns the organisation of the caller's API key. It refuses all keys if the configuration is too old:
+// the node would otherwise continue to accept a key whose revocation it could not learn of.
 func (r *Relayer) authenticate(table *router.Table, route *cataloguer.Route, incoming *http.Request) (*cataloguer.Organisation, *classifier.Error) {
 	if !table.NeedsKey(route) {
 		return nil, nil
@@ -208,7 +208,7 @@
 
 	age, known := r.options.Catalog.Age()
 	if !known || age > r.options.MaxKeyAge() {
-		return nil, classifier.New(classifier.SettingsUnavailable, "what the node knows of keys is too old").After(later())
+		return nil, classifier.New(classifier.SettingsUnavailable, "what the node knows of keys is too old").After(jitteredRetryAfter())
 	}
 
 	scheme, key, _ := strings.Cut(incoming.Header.Get(r.options.Headers.Authorization), " ")
@@ -224,32 +224,32 @@
 	return organisation, nil
 }
 
-// timeLimit is how long the caller is kept waiting at most.
-func (r *Relayer) timeLimit(route *cataloguer.Route, incoming *http.Request) time.Duration {
-	limit := defaultLimit
+// callerTimeout returns the time limit of the request, from the route and the caller's deadline header.
+func (r *Relayer) callerTimeout(route *cataloguer.Route, incoming *http.Request) time.Duration {
+	timeout := defaultTimeout
 	if route.Timeout > 0 {
-		limit = route.Timeout
+		timeout = route.Timeout
 	}
 
-	asked, err := strconv.ParseFloat(incoming.Header.Get(r.options.Headers.Deadline), 64)
-	if err == nil && asked > 0 {
-		limit = min(limit, time.Duration(asked*float64(time.Millisecond)))
+	requestedMS, err := strconv.ParseFloat(incoming.Header.Get(r.options.Headers.Deadline), 64)
+	if err == nil && requestedMS > 0 {
+		timeout = min(timeout, time.Duration(requestedMS*float64(time.Millisecond)))
 	}
 
-	return limit
+	return timeout
 }
 
-// work describes the request to the balancer.
-func (r *Relayer) work(route *cataloguer.Route, rank router.Rank, header http.Header) balancer.Work {
-	work := balancer.Work{Priority: rank.Tier, Order: rank.Order, Target: route.Target, GapLimit: route.GapLimit}
+// newPoolRequest describes the request to the balancer.
+func (r *Relayer) newPoolRequest(route *cataloguer.Route, rank router.Rank, header http.Header) balancer.Work {
+	poolRequest := balancer.Work{Priority: rank.Tier, Order: rank.Order, Target: route.Target, GapLimit: route.GapLimit}
 
 	prompt, output, _ := strings.Cut(header.Get(r.options.Headers.TokenCounts), ",")
-	work.PromptTokens = number(prompt)
-	work.OutputTokens = number(output)
+	poolRequest.PromptTokens = parseCount(prompt)
+	poolRequest.OutputTokens = parseCount(output)
 
 	listed := header.Get(r.options.Headers.PromptParts)
 	if listed == "" {
-		return work
+		return poolRequest
 	}
 
 	for entry := range strings.SplitSeq(listed, ",") {
@@ -258,13 +258,14 @@
 			break
 		}
 
-		work.Parts = append(work.Parts, balancer.Part{ID: id, Tokens: number(tokens)})
+		poolRequest.Parts = append(poolRequest.Parts, balancer.Part{ID: id, Tokens: parseCount(tokens)})
 	}
 
-	return work
+	return poolRequest
 }
 
-func number(text string) int {
+// parseCount returns the number in text, or 0 if it is invalid or negative.
+func parseCount(text string) int {
 	n, err := strconv.Atoi(strings.TrimSpace(text))
 	if err != nil {
 		return 0
--- a/internal/gateway/relayer/stream.go
+++ b/internal/gateway/relayer/stream.go
@@ -16,100 +16,101 @@
 	"quincepath.example/quincepath/pkg/classifier"
 )
 
-// maxEventBytes bounds one event; a longer one is taken for garbage.
+// maxEventBytes is the maximum size of an event; a longer one is treated as malformed.
 const maxEventBytes = 1 << 20
 
 var (
-	errTornEvent = errors.New("the stream ended in the middle of an event")
-	errLongEvent = errors.New("an event is too long")
-	errOrder     = errors.New("an event is missing or out of order")
+	errTruncatedEvent = errors.New("stream ended in the middle of an event")
+	errEventTooLong   = errors.New("event is too long")
+	errEventOrder     = errors.New("event is missing or out of order")
 )
 
-// deliverEvents passes a stream on event by event, so that a caller never gets
-// part of one and the stream can go on at another upstream after the last whole one.
-func (r *Relayer) deliverEvents(ctx context.Context, a *answer, choice balancer.Choice, sent time.Time, response *dialer.Response, watch *watch, outcome *balancer.Outcome) verdict {
+// deliverEvents relays a stream event by event, so that a caller never receives
+// a partial event and the stream can be resumed at another upstream after the last complete one.
+func (r *Relayer) deliverEvents(ctx context.Context, a *callerResponse, choice balancer.Choice, sent time.Time, response *dialer.Response, watch *watchdog, outcome *balancer.Outcome) attemptResult {
 	request := a.request
 	events := bufio.NewReaderSize(response.Body, 2<<10)
 	controller := http.NewResponseController(a.writer)
 	first := true
-	pace := &pace{}
+	gaps := &gapTracker{}
 
 	for {
 		event, err := readEvent(events)
 		if err != nil {
 			if errors.Is(err, io.EOF) {
-				r.options.Chooser.RecordGaps(request.workID(), pace.pauses())
+				r.options.Chooser.RecordGaps(request.attemptID(), gaps.eventGaps())
 			}
 
-			return r.endEvents(ctx, a, choice, err, !first, outcome)
+			return r.finishStream(ctx, a, choice, err, !first, outcome)
 		}
 
 		now := time.Now()
-		pace.event(now)
+		gaps.record(now)
 
 		if first {
 			first = false
-			r.options.Chooser.RecordFirstEvent(request.workID(), r.load(response))
-			r.vitals.answered(choice.Upstream, sent, now, request.work.Priority)
+			r.options.Chooser.RecordFirstEvent(request.attemptID(), r.parseLoad(response))
+			r.activity.recordResponse(choice.Upstream, sent, now, request.poolRequest.Priority)
 		}
 
-		r.vitals.seen(choice.Upstream, now)
-		watch.rearm()
+		r.activity.recordActivity(choice.Upstream, now)
+		watch.reset()
 
 		id := eventID(event)
-		if !follows(request.lastEvent, id) {
-			if a.begun && repeats(request.lastEvent, id) {
+		if !isAfter(request.lastEventID, id) {
+			if a.headerSent && isDuplicate(request.lastEventID, id) {
 				continue
 			}
 
-			return r.endEvents(ctx, a, choice, errOrder, true, outcome)
+			return r.finishStream(ctx, a, choice, errEventOrder, true, outcome)
 		}
 
-		if !a.begun {
-			a.begin(response.StatusCode, endToEnd(response.Header), -1)
+		if !a.headerSent {
+			a.sendHeader(response.StatusCode, endToEndHeader(response.Header), -1)
 		}
 
-		a.account.pace.event(now)
+		a.stats.gaps.record(now)
 
 		if _, err := a.writer.Write(event); err != nil {
-			return r.endCaller(a)
+			return r.handleCallerGone(a)
 		}
 
 		if err := controller.Flush(); err != nil {
-			return r.endCaller(a)
+			return r.handleCallerGone(a)
 		}
 
 		if id != "" {
-			request.lastEvent = id
+			request.lastEventID = id
 		}
 	}
 }
 
-// endEvents judges the end of a stream; answering says that an event of it had come.
-func (r *Relayer) endEvents(ctx context.Context, a *answer, choice balancer.Choice, err error, answering bool, outcome *balancer.Outcome) verdict {
-	if errors.Is(err, io.EOF) && a.begun {
+// finishStream handles the end of an upstream's stream; responseStarted is true if an event of it was received.
+func (r *Relayer) finishStream(ctx context.Context, a *callerResponse, choice balancer.Choice, err error, responseStarted bool, outcome *balancer.Outcome) attemptResult {
+	if errors.Is(err, io.EOF) && a.headerSent {
 		*outcome = balancer.Served
-		r.served(a, choice)
+		r.recordSuccess(a, choice)
 
-		return done
+		return attemptDone
 	}
 
-	r.judgeBreak(ctx, a.request, choice, outcome, answering)
-	r.logAttempt(a.request, choice, "stream_broken_off", causeOf(ctx, err))
+	r.recordInterruption(ctx, a.request, choice, outcome, responseStarted)
+	r.logFailedAttempt(a.request, choice, "stream_broken_off", causeOf(ctx, err))
 
-	return unsure
+	return attemptUnknown
 }
 
-// endCaller ends a stream whose caller is gone.
-func (r *Relayer) endCaller(a *answer) verdict {
-	a.account.code = classifier.CallerGone
+// handleCallerGone ends a stream whose caller disconnected.
+func (r *Relayer) handleCallerGone(a *callerResponse) attemptResult {
+	a.stats.code = classifier.CallerGone
 	r.options.Meter.Refused(a.request.route.Name, classifier.CallerGone)
 	r.options.Logger.Debug().Str("request_id", a.request.id).Msg("caller_gone")
 
-	return done
+	return attemptDone
 }
 
-// readEvent returns the next event with the blank line that ends it. io.EOF means a sound end.
+// readEvent returns the next event including the blank line that ends it. It returns io.EOF if the stream ended
+// between events.
 func readEvent(reader *bufio.Reader) ([]byte, error) {
 	var event []byte
 
@@ -122,7 +123,7 @@
 		case errors.Is(err, io.EOF) && len(event) == 0:
 			return nil, io.EOF
 		case errors.Is(err, io.EOF):
-			return nil, errTornEvent
+			return nil, errTruncatedEvent
 		case err != nil:
 			return nil, err
 		case len(bytes.TrimRight(line, "\r\n")) == 0 && len(bytes.TrimSpace(event)) > 0:
@@ -130,12 +131,12 @@
 		}
 
 		if len(event) > maxEventBytes {
-			return nil, errLongEvent
+			return nil, errEventTooLong
 		}
 	}
 }
 
-// eventID returns the id of an event, empty if it has none.
+// eventID returns the ID of an event, or "" if it has none.
 func eventID(event []byte) string {
 	for line := range bytes.Lines(event) {
 		if value, found := bytes.CutPrefix(line, []byte("id:")); found {
@@ -146,15 +147,15 @@
 	return ""
 }
 
-// follows says whether an event may come after the last one: numbered events grow.
-func follows(last, id string) bool {
+// isAfter reports whether an event may follow the last one: numeric IDs must increase.
+func isAfter(last, id string) bool {
 	before, errBefore := strconv.ParseInt(last, 10, 64)
 	now, errNow := strconv.ParseInt(id, 10, 64)
 
 	return errBefore != nil || errNow != nil || now > before
 }
 
-// repeats says whether the caller already has the event.
-func repeats(last, id string) bool {
-	return id != "" && !follows(last, id)
+// isDuplicate reports whether the caller has already received the event.
+func isDuplicate(last, id string) bool {
+	return id != "" && !isAfter(last, id)
 }
--- /dev/null
+++ b/internal/gateway/relayer/watchdog.go
@@ -0,0 +1,74 @@
+package relayer
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"github.com/cockroachdb/errors"
+)
+
+// errAttemptTimeout is the cancellation cause of an attempt whose upstream sent nothing in time.
+var errAttemptTimeout = errors.New("upstream sent nothing within the attempt timeout")
+
+// watchdog cancels an attempt's context when its upstream sends nothing for too long.
+//
+// A connection can stall forever without an error: a frozen server, a network partition, a
+// middlebox that lost its state. Without the watchdog, the caller would wait until its deadline.
+type watchdog struct {
+	cancel context.CancelCauseFunc
+	// isLost reports whether the attempt counts as lost; it is called each time that the timeout expires.
+	isLost func() bool
+
+	mu      sync.Mutex
+	timer   *time.Timer
+	timeout time.Duration
+	stopped bool
+}
+
+func newWatchdog(parent context.Context) (context.Context, *watchdog) {
+	ctx, cancel := context.WithCancelCause(parent)
+
+	return ctx, &watchdog{cancel: cancel}
+}
+
+// start starts the timeout, which restarts each time that isLost returns false.
+func (w *watchdog) start(timeout time.Duration, isLost func() bool) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+
+	w.timeout, w.isLost = timeout, isLost
+	w.timer = time.AfterFunc(timeout, w.expire)
+}
+
+func (w *watchdog) expire() {
+	if w.isLost() {
+		w.cancel(errAttemptTimeout)
+
+		return
+	}
+
+	w.reset()
+}
+
+// reset restarts the timeout if the watchdog was started and not stopped.
+func (w *watchdog) reset() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+
+	if w.timer != nil && !w.stopped {
+		w.timer.Reset(w.timeout)
+	}
+}
+
+func (w *watchdog) stop() {
+	w.mu.Lock()
+	w.stopped = true
+
+	if w.timer != nil {
+		w.timer.Stop()
+	}
+	w.mu.Unlock()
+
+	w.cancel(nil)
+}
