--- a/internal/gateway/relayer/pace_test.go
+++ b/internal/gateway/relayer/gaps_test.go
@@ -9,14 +9,14 @@
 	"quincepath.example/quincepath/internal/gateway/balancer"
 )
 
-func TestPauses(t *testing.T) {
+func TestGapTracker(t *testing.T) {
 	begun := time.Date(2026, time.March, 12, 4, 0, 0, 0, time.UTC)
-	p := &pace{}
-	assert.Equal(t, p.pauses(), balancer.EventGaps{})
+	p := &gapTracker{}
+	assert.Equal(t, p.eventGaps(), balancer.EventGaps{})
 
 	for _, at := range []time.Duration{0, 10 * time.Millisecond, 150 * time.Millisecond, 160 * time.Millisecond} {
-		p.event(begun.Add(at))
+		p.record(begun.Add(at))
 	}
 
-	assert.Equal(t, p.pauses(), balancer.EventGaps{Events: 4, MeanMS: 53.3, LongestMS: 140})
+	assert.Equal(t, p.eventGaps(), balancer.EventGaps{Events: 4, MeanMS: 53.3, LongestMS: 140})
 }
