--- a/internal/granter/attainment_test.go
+++ b/internal/granter/attainment_test.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	// engineStart is what an engine takes to the first token of a counter lookup;
-	// the rest of the target may be spent on the slot.
-	engineStart   = 100 * time.Millisecond
-	counterTarget = 300 * time.Millisecond
-	faultAt       = 4 * time.Second
+	// timeToFirstToken is the time that an engine needs until the first token of a counter
+	// lookup; the rest of the target is available for the wait for a slot.
+	timeToFirstToken = 100 * time.Millisecond
+	counterTarget    = 300 * time.Millisecond
+	faultDelay       = 4 * time.Second
 )
 
-// counterWaits sends a counter lookup through a node each 2 ms for 10 s, while
-// chats fill the pool, and returns the waits for a slot, those in the two
-// seconds after the fault apart.
-func counterWaits(ctx context.Context, t *testing.T, n *network, entries []string, fault func()) (all, after []time.Duration) {
+// measureCounterWaits sends a counter lookup each 10 ms for 10 s, through the entries in
+// turn, while chats fill the pool. It returns the waits for a slot of all lookups, and
+// of those sent from just before the fault until two seconds after it.
+func measureCounterWaits(ctx context.Context, t *testing.T, n *network, entries []string, fault func()) (all, after []time.Duration) {
 	t.Helper()
 
 	var (
@@ -32,21 +32,21 @@
 		group sync.WaitGroup
 	)
 
-	began := time.Now()
-	time.AfterFunc(faultAt, fault)
+	start := time.Now()
+	time.AfterFunc(faultDelay, fault)
 
 	for i := range 1000 {
 		entry := n.nodes[entries[i%len(entries)]]
-		since := time.Since(began)
+		elapsed := time.Since(start)
 
 		group.Go(func() {
-			waited, err := entry.run(ctx, "counter", engineStart)
+			waited, err := entry.run(ctx, "counter", timeToFirstToken)
 			assert.Check(t, err)
 			mu.Lock()
 			defer mu.Unlock()
 
 			all = append(all, waited)
-			if since >= faultAt-counterTarget && since < faultAt+2*time.Second {
+			if elapsed >= faultDelay-counterTarget && elapsed < faultDelay+2*time.Second {
 				after = append(after, waited)
 			}
 		})
@@ -63,11 +63,11 @@
 	return all, after
 }
 
-// sight is what a node sees that may miss another one.
-type sight struct{ *network }
+// partialMembers lists the live nodes without the hidden ones.
+type partialMembers struct{ *network }
 
 // Live implements Members.
-func (s sight) Live() []string {
+func (s partialMembers) Live() []string {
 	live := s.network.Live()
 
 	s.mu.Lock()
@@ -76,18 +76,18 @@
 	return slices.DeleteFunc(live, func(name string) bool { return s.hidden[name] })
 }
 
-func (n *network) hide(name string, hidden bool) {
+func (n *network) setHidden(name string, hidden bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 
 	n.hidden[name] = hidden
 }
 
-func attained(waits []time.Duration) float64 {
+func attainment(waits []time.Duration) float64 {
 	count := 0
 
 	for _, wait := range waits {
-		if wait+engineStart <= counterTarget {
+		if wait+timeToFirstToken <= counterTarget {
 			count++
 		}
 	}
@@ -95,10 +95,10 @@
 	return float64(count) / float64(len(waits))
 }
 
-// Symptom: counter lookups wait while the holder of their pool is out of reach.
-// Sequence: nine nodes, twelve engines full of chats; the holder crashes and stays
-// listed as live, freezes for three seconds, or half of the nodes take another for it.
-// Cause: an entry that waits for a holder waits for ever.
+// Guards against counter lookups that wait while the holder of their pool can't be
+// reached. With engines full of chats, the holder crashes, crashes but stays listed as
+// live, freezes, or four of the nine nodes take another node for the holder. Entries
+// must not wait for a holder without a time limit.
 func TestTierOneAttainsThroughAHoldersEnd(t *testing.T) {
 	faults := map[string]func(n *network, holder string){
 		"none":  func(*network, string) {},
@@ -112,12 +112,12 @@
 			time.AfterFunc(3*time.Second, func() { n.thaw(holder) })
 		},
 		"two holders for 3 s": func(n *network, holder string) {
-			n.hide(holder, true)
-			time.AfterFunc(3*time.Second, func() { n.hide(holder, false) })
+			n.setHidden(holder, true)
+			time.AfterFunc(3*time.Second, func() { n.setHidden(holder, false) })
 		},
 	}
 
-	ways := []struct {
+	modes := []struct {
 		name string
 		pool scheduler.Options
 	}{
@@ -126,23 +126,23 @@
 	}
 
 	for name, fault := range faults {
-		for _, way := range ways {
-			t.Run(name+", "+way.name, func(t *testing.T) {
-				options := Options{Pool: way.pool}
+		for _, mode := range modes {
+			t.Run(name+", "+mode.name, func(t *testing.T) {
+				options := Options{Pool: mode.pool}
 				inVirtualTime(t, 9, 4, 8, options, func(t *testing.T, ctx context.Context, n *network) {
 					holder := n.holderNode().name
 					for i := range 4 {
 						entry := n.nodes[fmt.Sprintf("n%d", i+1)]
-						entry.router.members = sight{n}
+						entry.router.members = partialMembers{n}
 					}
 
 					entries := slices.DeleteFunc(n.Live(), func(name string) bool { return name == holder })
-					all, after := counterWaits(ctx, t, n, entries, func() { fault(n, holder) })
+					all, after := measureCounterWaits(ctx, t, n, entries, func() { fault(n, holder) })
 
 					t.Logf("attained %.4f of %d, %.4f of %d around the fault, longest wait %s",
-						attained(all), len(all), attained(after), len(after), slices.Max(all))
-					assert.Assert(t, attained(all) >= 0.99)
-					assert.Assert(t, attained(after) >= 0.99)
+						attainment(all), len(all), attainment(after), len(after), slices.Max(all))
+					assert.Assert(t, attainment(all) >= 0.99)
+					assert.Assert(t, attainment(after) >= 0.99)
 				})
 			})
 		}
--- a/internal/granter/batcher.go
+++ b/internal/granter/batcher.go
@@ -10,23 +10,24 @@
 	"quincepath.example/quincepath/internal/sleeper"
 )
 
-// errNoAnswer marks a holder that answered with fewer decisions than asks.
-var errNoAnswer = errors.New("the holder answered without a decision")
+// errIncompleteAnswer is returned if an answer doesn't have one decision for each slot request.
+var errIncompleteAnswer = errors.New("the holder's answer doesn't have one decision for each slot request")
 
-// batcher sends asks, releases and cancels to holders: each at once, or gathered
-// for a few milliseconds in one message. It is safe for concurrent use.
+// batcher sends slot requests, releases and cancellations to holders. Depending on
+// the message policy, each is sent at once, or collected for a few milliseconds into
+// one message. It is safe for concurrent use.
 type batcher struct {
 	router *Router
 
 	mu sync.Mutex
-	// batches holds what is being gathered, by holder.
+	// batches holds the batches that are not sent yet, by holder.
 	batches map[string]*batch
 }
 
-// batch is one message in the making.
+// batch is one message to which items are still added.
 type batch struct {
-	params askParams
-	// replies takes one answer for each ask, in order.
+	params entryParams
+	// replies receives one reply for each slot request, in the same order.
 	replies []chan reply
 	timer   *time.Timer
 }
@@ -40,76 +41,77 @@
 	return &batcher{router: r, batches: make(map[string]*batch)}
 }
 
-// ask sends one ask and returns the holder's answer. Urgent asks are not
-// gathered, but take along what was. The error means that the holder was silent.
-func (b *batcher) ask(ctx context.Context, peer string, item askItem, urgent bool) (decision, error) {
-	if b.direct(peer) {
-		return b.askNow(ctx, peer, item)
+// request sends one slot request and returns the holder's answer. An urgent request
+// sends the open batch of its holder at once. An error means that the holder
+// didn't answer.
+func (b *batcher) request(ctx context.Context, holder string, request slotRequest, urgent bool) (decision, error) {
+	if b.sendsDirectly(holder) {
+		return b.requestDirectly(ctx, holder, request)
 	}
 
 	answer := make(chan reply, 1)
 
-	b.gather(peer, urgent, func(m *batch) {
-		m.params.Asks = append(m.params.Asks, item)
-		m.replies = append(m.replies, answer)
+	b.enqueue(holder, urgent, func(open *batch) {
+		open.params.Requests = append(open.params.Requests, request)
+		open.replies = append(open.replies, answer)
 	})
 
 	select {
 	case r := <-answer:
 		return r.decision, r.err
 	case <-ctx.Done():
-		return decision{}, errors.Wrap(ctx.Err(), "ask for a slot")
+		return decision{}, errors.Wrap(ctx.Err(), "request a slot")
 	}
 }
 
 // release tells a holder that a grant has ended.
-func (b *batcher) release(peer string, item releaseItem) {
-	if b.direct(peer) {
-		b.tell(peer, askParams{Releases: []releaseItem{item}})
+func (b *batcher) release(holder string, release slotRelease) {
+	if b.sendsDirectly(holder) {
+		b.notify(holder, entryParams{Releases: []slotRelease{release}})
 
 		return
 	}
 
-	b.gather(peer, false, func(m *batch) { m.params.Releases = append(m.params.Releases, item) })
+	b.enqueue(holder, false, func(open *batch) { open.params.Releases = append(open.params.Releases, release) })
 }
 
-// cancel takes an ask back.
-func (b *batcher) cancel(peer string, item cancelItem) {
-	if b.direct(peer) {
-		b.tell(peer, askParams{Cancels: []cancelItem{item}})
+// cancel tells a holder that a slot request is withdrawn.
+func (b *batcher) cancel(holder string, cancel slotCancel) {
+	if b.sendsDirectly(holder) {
+		b.notify(holder, entryParams{Cancels: []slotCancel{cancel}})
 
 		return
 	}
 
-	b.gather(peer, false, func(m *batch) { m.params.Cancels = append(m.params.Cancels, item) })
+	b.enqueue(holder, false, func(open *batch) { open.params.Cancels = append(open.params.Cancels, cancel) })
 }
 
-func (b *batcher) direct(peer string) bool {
-	return b.router.options.MessagePolicy != MessageBatched || b.local(peer)
+func (b *batcher) sendsDirectly(holder string) bool {
+	return b.router.options.MessagePolicy != MessageBatched || b.isLocal(holder)
 }
 
-func (b *batcher) local(peer string) bool {
-	return peer == b.router.options.Node
+func (b *batcher) isLocal(holder string) bool {
+	return holder == b.router.options.Node
 }
 
-func (b *batcher) askNow(ctx context.Context, peer string, item askItem) (decision, error) {
-	result, err := b.call(ctx, peer, askParams{Asks: []askItem{item}})
+func (b *batcher) requestDirectly(ctx context.Context, holder string, request slotRequest) (decision, error) {
+	result, err := b.call(ctx, holder, entryParams{Requests: []slotRequest{request}})
 	if err != nil {
 		return decision{}, err
 	}
 
 	if len(result.Answers) != 1 {
-		return decision{}, errNoAnswer
+		return decision{}, errIncompleteAnswer
 	}
 
 	return result.Answers[0], nil
 }
 
-// call sends one message with asks and waits for its answer, HolderTimeout at most.
-func (b *batcher) call(ctx context.Context, peer string, params askParams) (askResult, error) {
+// call sends one message with slot requests and waits up to HolderTimeout for the answer.
+func (b *batcher) call(ctx context.Context, holder string, params entryParams) (entryResult, error) {
 	r := b.router
-	if b.local(peer) {
-		return r.holder.take(peer, params), nil
+	if b.isLocal(holder) {
+		return r.holder.handleMessage(holder, params), nil
 	}
 
 	ctx, cancel := context.WithTimeout(ctx, r.options.HolderTimeout)
@@ -117,36 +119,37 @@
 
 	r.counters.messages.Add(1)
 
-	var result askResult
+	var result entryResult
 
-	err := r.caller.Call(ctx, peer, MethodAsk, params, &result)
+	err := r.caller.Call(ctx, holder, MethodAsk, params, &result)
 
 	return result, err
 }
 
 const (
-	// tellTries is how often a message without asks is sent at once until it succeeds.
-	tellTries = 3
-	// tellFor is how long it is sent again each probeEvery after that.
-	tellFor = 10 * time.Second
+	// immediateNotifyAttempts is the number of attempts without a pause to send a message that has no slot requests.
+	immediateNotifyAttempts = 3
+	// notifyRetryTimeout bounds the time in which such a message is retried. Retries after
+	// the immediate attempts are probeInterval apart.
+	notifyRetryTimeout = 10 * time.Second
 )
 
-// tell sends a message without asks. A lost release holds its slot until the
-// holder's second comparison, which may be MaxReconcileInterval away; so one that
-// fails is sent again, which changes nothing when it had arrived.
-func (b *batcher) tell(peer string, params askParams) {
-	if b.local(peer) {
-		b.router.holder.take(peer, params)
+// notify sends a message without slot requests and retries if that fails. A lost
+// release would keep its slot in use until the holder's second comparison, which
+// may be MaxReconcileInterval away. A message that arrives twice has no further effect.
+func (b *batcher) notify(holder string, params entryParams) {
+	if b.isLocal(holder) {
+		b.router.holder.handleMessage(holder, params)
 
 		return
 	}
 
 	go func() {
-		until := time.Now().Add(tellFor)
+		deadline := time.Now().Add(notifyRetryTimeout)
 
-		for tries := 1; b.tellOnce(peer, params) != nil && time.Now().Before(until); tries++ {
-			if tries >= tellTries {
-				sleeper.Sleep(b.router.ctx, probeEvery)
+		for attempts := 1; b.notifyOnce(holder, params) != nil && time.Now().Before(deadline); attempts++ {
+			if attempts >= immediateNotifyAttempts {
+				sleeper.Sleep(b.router.ctx, probeInterval)
 			}
 
 			if b.router.ctx.Err() != nil {
@@ -156,7 +159,7 @@
 	}()
 }
 
-func (b *batcher) tellOnce(peer string, params askParams) error {
+func (b *batcher) notifyOnce(holder string, params entryParams) error {
 	r := b.router
 
 	ctx, cancel := context.WithTimeout(r.ctx, r.options.HolderTimeout)
@@ -164,60 +167,60 @@
 
 	r.counters.messages.Add(1)
 
-	return r.caller.Notify(ctx, peer, MethodRelease, params)
+	return r.caller.Notify(ctx, holder, MethodRelease, params)
 }
 
-// gather adds to the batch for a holder, and sends it at once or after MaxBatchDelay.
-func (b *batcher) gather(peer string, urgent bool, add func(*batch)) {
+// enqueue adds an item to the batch of a holder. The batch is sent at once if urgent, otherwise after MaxBatchDelay.
+func (b *batcher) enqueue(holder string, urgent bool, add func(*batch)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 
-	m := b.batches[peer]
-	if m == nil {
-		m = &batch{}
-		m.timer = time.AfterFunc(b.router.options.MaxBatchDelay, func() { b.flush(peer, m) })
-		b.batches[peer] = m
+	open := b.batches[holder]
+	if open == nil {
+		open = &batch{}
+		open.timer = time.AfterFunc(b.router.options.MaxBatchDelay, func() { b.flush(holder, open) })
+		b.batches[holder] = open
 	}
 
-	add(m)
+	add(open)
 
 	if urgent {
-		m.timer.Stop()
-		delete(b.batches, peer)
+		open.timer.Stop()
+		delete(b.batches, holder)
 
-		go b.send(peer, m)
+		go b.send(holder, open)
 	}
 }
 
-// flush sends a batch whose time has come, unless an urgent ask took it along.
-func (b *batcher) flush(peer string, m *batch) {
+// flush sends a batch whose delay has passed, unless an urgent request sent it before.
+func (b *batcher) flush(holder string, batch *batch) {
 	b.mu.Lock()
-	waiting := b.batches[peer] == m
+	unsent := b.batches[holder] == batch
 
-	if waiting {
-		delete(b.batches, peer)
+	if unsent {
+		delete(b.batches, holder)
 	}
 
 	b.mu.Unlock()
 
-	if waiting {
-		b.send(peer, m)
+	if unsent {
+		b.send(holder, batch)
 	}
 }
 
-func (b *batcher) send(peer string, m *batch) {
-	if len(m.replies) == 0 {
-		b.tell(peer, m.params)
+func (b *batcher) send(holder string, sent *batch) {
+	if len(sent.replies) == 0 {
+		b.notify(holder, sent.params)
 
 		return
 	}
 
-	result, err := b.call(b.router.ctx, peer, m.params)
-	if err == nil && len(result.Answers) != len(m.replies) {
-		err = errNoAnswer
+	result, err := b.call(b.router.ctx, holder, sent.params)
+	if err == nil && len(result.Answers) != len(sent.replies) {
+		err = errIncompleteAnswer
 	}
 
-	for i, answer := range m.replies {
+	for i, answer := range sent.replies {
 		if err != nil {
 			answer <- reply{err: err}
 
--- a/internal/granter/faults_test.go
+++ b/internal/granter/faults_test.go
@@ -25,7 +25,7 @@
 	delete(n.frozen, name)
 }
 
-func (n *network) lose(share float64) {
+func (n *network) setLoss(share float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 
@@ -46,14 +46,14 @@
 	n.down[name] = down
 }
 
-// silenceHolder cuts the holder off and loses what a holder sends by itself, so that the
-// one asked in its place reaches no entry. It returns both names and a node that is neither.
-func (n *network) silenceHolder() (silent, next string, entry *node) {
-	silent = n.holderNode().name
-	others := slices.DeleteFunc(n.Live(), func(name string) bool { return name == silent })
-	next = newPlacement(n.tree).holder(others, "assistente")
-	entry = n.nodes[others[(slices.Index(others, next)+1)%len(others)]]
-	n.setCut(silent, true)
+// cutOffHolder cuts off the holder and drops all messages that holders initiate, so that
+// the replacement can't reach an entry. It returns both names and a node that is neither.
+func (n *network) cutOffHolder() (holder, replacement string, entry *node) {
+	holder = n.holderNode().name
+	others := slices.DeleteFunc(n.Live(), func(name string) bool { return name == holder })
+	replacement = newPlacement(n.settings).holder(others, "assistente")
+	entry = n.nodes[others[(slices.Index(others, replacement)+1)%len(others)]]
+	n.setCut(holder, true)
 
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -61,12 +61,13 @@
 	n.dropped[MethodDecided] = true
 	n.dropped[MethodInFlight] = true
 
-	return silent, next, entry
+	return holder, replacement, entry
 }
 
-// disturb freezes, cuts off and mends one node after the other, and loses messages, until stop.
-// A cut node still answers its own callers; it is not named as live meanwhile.
-func (n *network) disturb(random *rand.Rand, stop chan struct{}) {
+// injectFaults freezes or takes down random nodes, one at a time, and loses messages,
+// until stop is closed. A node that is down still serves its own callers, but is not
+// listed as live.
+func (n *network) injectFaults(random *rand.Rand, stop chan struct{}) {
 	names := n.Live()
 	wait := func() {
 		select {
@@ -78,14 +79,14 @@
 	for {
 		select {
 		case <-stop:
-			n.lose(0)
+			n.setLoss(0)
 
 			return
 		default:
 		}
 
 		name := names[random.IntN(len(names))]
-		n.lose(random.Float64() * 0.2)
+		n.setLoss(random.Float64() * 0.2)
 
 		if random.IntN(2) == 0 {
 			n.freeze(name)
@@ -101,27 +102,29 @@
 	}
 }
 
-// Symptom: a note waited until its caller gave up, 40 s and more, though every engine was idle.
-// Sequence: the holder is silent, so a request is queued at another node, which
-// can't reach the entry that asks; it grants, and the grant is lost on the way; it forgets the entry after
-// five comparisons without an answer, 5 s, when the entry is about to ask again; asked, it rebuilds
-// for 1 s, since nobody answers it, and only then grants anew.
-// Cause: the entry was forgotten in the time after which it asks again, though its asks showed that it lived. Seen
-// as pool_rebuild_began each 5 s at a node with is_holder=false, and slots_withheld beside free slots after each.
-func TestGrantThatDidNotArriveIsMadeGoodByTheNextAsk(t *testing.T) {
-	inVirtualTime(t, 3, 2, 4, fixed(), func(t *testing.T, ctx context.Context, n *network) {
+// Guards against requests that wait until their callers give up, 40 s and more,
+// although all engines are idle. The holder doesn't answer, so a request is queued at
+// another node, which can't send messages to the entry. Its grant is lost. If it
+// removes the entry after five failed comparisons, 5 s, the grant is gone just before
+// the entry sends the request again. It then rebuilds for 1 s because no entry
+// answers, and its new grant is lost as well. The entry must be kept for longer than
+// the time after which it resends, because its requests show that it is alive. In the
+// log this appeared as pool_rebuild_began each 5 s at a node with is_holder=false,
+// each followed by slots_withheld with free slots.
+func TestLostGrantIsRepeatedForTheNextRequest(t *testing.T) {
+	inVirtualTime(t, 3, 2, 4, fixedSlotOptions(), func(t *testing.T, ctx context.Context, n *network) {
 		time.Sleep(time.Second)
 
-		_, _, entry := n.silenceHolder()
+		_, _, entry := n.cutOffHolder()
 
 		options := entry.router.options
 
 		for i := range 20 {
-			// Requests at other moments of the comparisons, which come each second.
+			// The requests start at different offsets to the comparisons, which come each second.
 			time.Sleep(time.Duration(i) * 50 * time.Millisecond)
 
-			bounded, stop := context.WithTimeout(ctx, 40*time.Second)
-			waited, err := entry.run(bounded, "chat", time.Millisecond)
+			requestCtx, stop := context.WithTimeout(ctx, 40*time.Second)
+			waited, err := entry.run(requestCtx, "chat", time.Millisecond)
 
 			stop()
 			assert.NilError(t, err, "request %d waited %s", i, waited)
--- a/internal/granter/granter_test.go
+++ b/internal/granter/granter_test.go
@@ -14,25 +14,25 @@
 	"quincepath.example/quincepath/pkg/classifier"
 )
 
-// inVirtualTime runs the body on a network of nodes that ends with it.
-func inVirtualTime(t *testing.T, nodes, servers, slots int, options Options, body func(t *testing.T, ctx context.Context, n *network)) {
+// inVirtualTime calls run in virtual time with a network of nodes, which ends afterwards.
+func inVirtualTime(t *testing.T, nodes, servers, slots int, options Options, run func(t *testing.T, ctx context.Context, n *network)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 
 		defer func() {
 			cancel()
-			// Messages under way have a latency.
+			// Messages in transit have a latency.
 			time.Sleep(time.Second)
 			synctest.Wait()
 		}()
 
-		body(t, ctx, newNetwork(ctx, nodes, service(servers, slots), options))
+		run(t, ctx, newNetwork(ctx, nodes, service(servers, slots), options))
 	})
 }
 
-// crowd runs the same request through all nodes in turn and returns how many failed.
-func crowd(ctx context.Context, n *network, count int, class string, every, duration time.Duration) int {
+// runRequests sends count requests through the live nodes in turn and returns how many failed.
+func runRequests(ctx context.Context, n *network, count int, class string, every, duration time.Duration) int {
 	var (
 		group  sync.WaitGroup
 		failed atomic.Int64
@@ -44,7 +44,7 @@
 		group.Go(func() {
 			if _, err := n.nodes[live[i%len(live)]].run(ctx, class, duration); err != nil {
 				failed.Add(1)
-				n.note(err)
+				n.recordFailure(err)
 			}
 		})
 
@@ -58,22 +58,22 @@
 
 func TestSlotsAreSharedByAllEntries(t *testing.T) {
 	for _, policy := range []MessagePolicy{MessagePerRequest, MessageBatched} {
-		options := fixed()
+		options := fixedSlotOptions()
 		options.MessagePolicy = policy
 
 		inVirtualTime(t, 3, 2, 3, options, func(t *testing.T, ctx context.Context, n *network) {
 			time.Sleep(time.Second)
 
-			failed := crowd(ctx, n, 300, "chat", 5*time.Millisecond, 50*time.Millisecond)
+			failed := runRequests(ctx, n, 300, "chat", 5*time.Millisecond, 50*time.Millisecond)
 			assert.Equal(t, failed, 0)
 
-			_, peaks := n.counts()
+			_, peaks := n.runningAttempts()
 			for upstream, most := range peaks {
 				assert.Assert(t, most <= 3, "%s had %d at once", upstream, most)
 			}
 
 			time.Sleep(100 * time.Millisecond)
-			assert.Equal(t, n.inUse(), 0)
+			assert.Equal(t, n.slotsInUse(), 0)
 		})
 	}
 }
@@ -82,11 +82,11 @@
 	sent := map[MessagePolicy]int{}
 
 	for _, policy := range []MessagePolicy{MessagePerRequest, MessageBatched} {
-		options := fixed()
+		options := fixedSlotOptions()
 		options.MessagePolicy = policy
 
 		inVirtualTime(t, 3, 4, 32, options, func(t *testing.T, ctx context.Context, n *network) {
-			failed := crowd(ctx, n, 3000, "chat", 300*time.Microsecond, 20*time.Millisecond)
+			failed := runRequests(ctx, n, 3000, "chat", 300*time.Microsecond, 20*time.Millisecond)
 			assert.Equal(t, failed, 0)
 
 			n.mu.Lock()
@@ -99,11 +99,11 @@
 	assert.Assert(t, sent[MessageBatched] < sent[MessagePerRequest]/2, "%v", sent)
 }
 
-// Symptom: a counter lookup hung until its caller gave up. Sequence: the pool's
-// holder freezes, a counter request is asked for, no answer comes. Cause: waiting for the holder.
+// Guards against counter lookups that hang until their callers give up: the pool's
+// holder freezes, and the entry waits for its answer without a time limit.
 func TestTierOneDoesNotWaitForASilentHolder(t *testing.T) {
-	inVirtualTime(t, 3, 2, 4, fixed(), func(t *testing.T, ctx context.Context, n *network) {
-		entry := n.other()
+	inVirtualTime(t, 3, 2, 4, fixedSlotOptions(), func(t *testing.T, ctx context.Context, n *network) {
+		entry := n.nonHolder()
 		_, err := entry.run(ctx, "counter", time.Millisecond)
 		assert.NilError(t, err)
 
@@ -121,15 +121,15 @@
 
 		n.thaw(frozen)
 		time.Sleep(5 * time.Second)
-		assert.Equal(t, n.inUse(), 0)
+		assert.Equal(t, n.slotsInUse(), 0)
 	})
 }
 
-// Symptom: a queued counter lookup waited for ever. Sequence: the holder says
-// queued and crashes. Cause: its decision never comes.
+// Guards against counter lookups that wait forever: the holder queues the slot
+// request and crashes, so its decision never arrives.
 func TestTierOneQueuedAtACrashedHolderGoesOn(t *testing.T) {
-	inVirtualTime(t, 3, 1, 1, fixed(), func(t *testing.T, ctx context.Context, n *network) {
-		entry := n.other()
+	inVirtualTime(t, 3, 1, 1, fixedSlotOptions(), func(t *testing.T, ctx context.Context, n *network) {
+		entry := n.nonHolder()
 		go func() { _, _ = entry.run(ctx, "chat", time.Hour) }()
 		time.Sleep(1200 * time.Millisecond)
 
@@ -150,16 +150,16 @@
 }
 
 func TestNextHolderRebuildsFromTheEntries(t *testing.T) {
-	inVirtualTime(t, 3, 2, 3, fixed(), func(t *testing.T, ctx context.Context, n *network) {
+	inVirtualTime(t, 3, 2, 3, fixedSlotOptions(), func(t *testing.T, ctx context.Context, n *network) {
 		time.Sleep(time.Second)
 
-		entry := n.other()
+		entry := n.nonHolder()
 		for range 6 {
 			go func() { _, _ = entry.run(ctx, "chat", 20*time.Second) }()
 		}
 
 		time.Sleep(time.Second)
-		assert.Equal(t, n.inUse(), 6)
+		assert.Equal(t, n.slotsInUse(), 6)
 
 		crashed := n.holderNode().name
 		n.setDown(crashed, true)
@@ -168,17 +168,17 @@
 		assert.NilError(t, err)
 		assert.Assert(t, waited > 15*time.Second && waited < 20*time.Second, "%s: all slots are known to be taken", waited)
 
-		_, most := n.counts()
+		_, most := n.runningAttempts()
 		assert.DeepEqual(t, most, map[string]int{"e01": 3, "e02": 3})
 	})
 }
 
-// Symptom: servers ran twice their slots after a holder was cut off. Sequence: no
-// message reaches the holder; another grants in its place; the holder is asked
-// again. Cause: it still believed that it alone had granted.
+// Guards against servers that run twice their slots after a holder was cut off. No
+// message reaches the holder, another node grants in its place, then the holder
+// gets requests again and must not assume that only it has granted slots.
 func TestReturnedHolderLearnsWhatWasGrantedInItsPlace(t *testing.T) {
-	inVirtualTime(t, 3, 2, 3, fixed(), func(t *testing.T, ctx context.Context, n *network) {
-		entry, cut := n.other(), n.holderNode().name
+	inVirtualTime(t, 3, 2, 3, fixedSlotOptions(), func(t *testing.T, ctx context.Context, n *network) {
+		entry, cut := n.nonHolder(), n.holderNode().name
 		_, err := entry.run(ctx, "chat", time.Millisecond)
 		assert.NilError(t, err)
 
@@ -200,38 +200,38 @@
 
 		time.Sleep(10 * time.Second)
 
-		_, most := n.counts()
+		_, most := n.runningAttempts()
 		assert.DeepEqual(t, most, map[string]int{"e01": 3, "e02": 3})
 	})
 }
 
-// Symptom: two requests ran too many for each lost message, until the node restarted.
-// Sequence: decisions and releases are lost at random. Cause: grants that nobody uses.
+// Guards against grants that nobody uses, after decisions and releases were lost at random.
+// For each lost message, two requests too many ran until the node restarted.
 func TestLostMessagesLoseNoCapacity(t *testing.T) {
 	for _, policy := range []MessagePolicy{MessagePerRequest, MessageBatched} {
-		options := fixed()
+		options := fixedSlotOptions()
 		options.MessagePolicy = policy
 
 		inVirtualTime(t, 4, 2, 4, options, func(t *testing.T, ctx context.Context, n *network) {
-			n.lose(0.1)
-			failed := crowd(ctx, n, 500, "chat", 20*time.Millisecond, 50*time.Millisecond)
+			n.setLoss(0.1)
+			failed := runRequests(ctx, n, 500, "chat", 20*time.Millisecond, 50*time.Millisecond)
 			assert.Equal(t, failed, 0)
 
-			n.lose(0)
+			n.setLoss(0)
 			time.Sleep(4 * time.Second)
-			assert.Equal(t, n.inUse(), 0)
+			assert.Equal(t, n.slotsInUse(), 0)
 
-			assert.Equal(t, n.open(), 0)
+			assert.Equal(t, n.openRequests(), 0)
 		})
 	}
 }
 
-// Symptom: a slot was lost with each caller that left while it waited. Sequence:
-// the holder grants, the caller leaves, the grant and the cancel cross. Cause: the
-// cancel named a waiting ask and there was none.
+// Guards against a slot lost with each caller that leaves while it waits. The holder
+// grants, the caller leaves, and the grant and the cancellation cross. The
+// cancellation must work although the slot request no longer waits.
 func TestCancelThatCrossesItsGrantFreesTheSlot(t *testing.T) {
-	inVirtualTime(t, 2, 1, 1, fixed(), func(t *testing.T, ctx context.Context, n *network) {
-		entry := n.other()
+	inVirtualTime(t, 2, 1, 1, fixedSlotOptions(), func(t *testing.T, ctx context.Context, n *network) {
+		entry := n.nonHolder()
 		go func() { _, _ = entry.run(ctx, "chat", time.Second) }()
 		time.Sleep(100 * time.Millisecond)
 
@@ -246,16 +246,16 @@
 		}
 
 		time.Sleep(1500 * time.Millisecond)
-		assert.Equal(t, n.inUse(), 0)
+		assert.Equal(t, n.slotsInUse(), 0)
 	})
 }
 
 func TestPreemptionReachesTheEntry(t *testing.T) {
-	options := fixed()
+	options := fixedSlotOptions()
 	options.Pool.NoPreemption = false
 
 	inVirtualTime(t, 2, 1, 1, options, func(t *testing.T, ctx context.Context, n *network) {
-		entry := n.other()
+		entry := n.nonHolder()
 		go func() { _, _ = entry.run(ctx, "chat", time.Hour) }()
 		time.Sleep(1500 * time.Millisecond)
 
@@ -266,21 +266,20 @@
 	})
 }
 
-// Symptom: a draft that is not repeatable was chosen as victim, kept running all
-// the same, and tier 1 waited for its slot. Sequence: an entry asks with
-// Repeatable false; the holder reads the class alone; its next holder adopts the
-// attempt. Cause: neither message said so.
-func TestNotRepeatableIsNoVictim(t *testing.T) {
-	options := fixed()
+// Guards against preemption of requests that are not repeatable: the attempt runs on,
+// and tier 1 waits for its slot. The class alone doesn't show it; both the slot request
+// and the attempt state that the next holder adopts must carry the flag.
+func TestNotRepeatableIsNotPreempted(t *testing.T) {
+	options := fixedSlotOptions()
 	options.Pool.NoPreemption = false
 
 	inVirtualTime(t, 2, 1, 1, options, func(t *testing.T, ctx context.Context, n *network) {
-		entry := n.other()
-		entry.once = true
+		entry := n.nonHolder()
+		entry.notRepeatable = true
 		go func() { _, _ = entry.run(ctx, "chat", 3*time.Second) }()
 		time.Sleep(1500 * time.Millisecond)
 
-		adopted := entry.router.inFlight("assistente").inFlight(time.Now(), entry.name)
+		adopted := entry.router.attemptsOn("assistente").schedulerInFlight(time.Now(), entry.name)
 		assert.Equal(t, len(adopted), 1)
 		assert.Assert(t, adopted[0].NotRepeatable)
 
@@ -292,12 +291,12 @@
 }
 
 func TestLowerTiersStayWithinTheirLastKnownShare(t *testing.T) {
-	inVirtualTime(t, 2, 2, 4, fixed(), func(t *testing.T, ctx context.Context, n *network) {
+	inVirtualTime(t, 2, 2, 4, fixedSlotOptions(), func(t *testing.T, ctx context.Context, n *network) {
 		time.Sleep(time.Second)
 
 		entry := n.nodes["n1"]
-		entry.router.members = only{"gone"}
-		entry.router.shares["assistente"] = &share{start: time.Now(), present: 2}
+		entry.router.members = fixedMembers{"gone"}
+		entry.router.recentPeaks["assistente"] = &recentPeak{windowStart: time.Now(), current: 2}
 
 		for range 5 {
 			go func() { _, _ = entry.run(ctx, "chat", 10*time.Second) }()
@@ -305,16 +304,16 @@
 
 		time.Sleep(5 * time.Second)
 
-		running, _ := n.counts()
+		running, _ := n.runningAttempts()
 		assert.Equal(t, running["e01"], 2)
 		time.Sleep(time.Minute)
 	})
 }
 
 func TestLowerTierIsRefusedWhenNoHolderAnswersInTime(t *testing.T) {
-	inVirtualTime(t, 1, 1, 1, fixed(), func(t *testing.T, ctx context.Context, n *network) {
+	inVirtualTime(t, 1, 1, 1, fixedSlotOptions(), func(t *testing.T, ctx context.Context, n *network) {
 		entry := n.nodes["n1"]
-		entry.router.members = only{"gone"}
+		entry.router.members = fixedMembers{"gone"}
 
 		waited, err := entry.run(ctx, "chat", time.Second)
 		assert.Equal(t, classifier.From(err).Code, classifier.TargetUnreachable)
@@ -322,33 +321,34 @@
 	})
 }
 
-// Symptom: a slot stayed taken for two seconds each time a caller left early.
-// Sequence: the entry gives an ask up; its cancel overtakes the ask, or is lost;
-// the holder grants. Cause: the entry ignored a grant that it didn't wait for.
-func TestGrantThatNobodyWaitsForIsGivenBackAtOnce(t *testing.T) {
-	inVirtualTime(t, 2, 1, 1, fixed(), func(t *testing.T, ctx context.Context, n *network) {
-		entry, holder := n.other(), n.holderNode()
+// Guards against slots that stay in use for two seconds each time a caller leaves
+// early. The entry cancels a slot request; the cancellation overtakes the request, or
+// is lost, and the holder grants. The entry must not ignore a grant that it doesn't
+// wait for.
+func TestUnneededGrantIsReturnedAtOnce(t *testing.T) {
+	inVirtualTime(t, 2, 1, 1, fixedSlotOptions(), func(t *testing.T, ctx context.Context, n *network) {
+		entry, holder := n.nonHolder(), n.holderNode()
 		_, err := entry.run(ctx, "counter", time.Millisecond)
 		assert.NilError(t, err)
 		time.Sleep(time.Second)
 
-		item := askItem{ID: "given-up", Service: "assistente", Class: "chat", Organisation: "a"}
-		answer := holder.holder.take(entry.name, askParams{Asks: []askItem{item}}).Answers[0]
+		item := slotRequest{ID: "given-up", Service: "assistente", Class: "chat", Organisation: "a"}
+		answer := holder.holder.handleMessage(entry.name, entryParams{Requests: []slotRequest{item}}).Answers[0]
 		assert.Equal(t, answer.State, stateGranted)
-		assert.Equal(t, n.inUse(), 1)
+		assert.Equal(t, n.slotsInUse(), 1)
 
-		entry.router.decided(holder.name, answer)
+		entry.router.handleDecision(holder.name, answer)
 		time.Sleep(10 * time.Millisecond)
-		assert.Equal(t, n.inUse(), 0)
+		assert.Equal(t, n.slotsInUse(), 0)
 	})
 }
 
-// TestFaultsAtRandomLoseNoCapacity lets nodes crash, freeze and lose messages
-// while all of them ask, and then holds that within the stated five seconds
-// every slot is free and each ask was answered once.
+// TestFaultsAtRandomLoseNoCapacity takes down and freezes nodes and loses messages
+// while all nodes send requests. Within the guaranteed five seconds afterwards, every
+// slot must be free and each slot request decided once.
 func TestFaultsAtRandomLoseNoCapacity(t *testing.T) {
 	for seed := range uint64(12) {
-		options := fixed()
+		options := fixedSlotOptions()
 		options.MessagePolicy = []MessagePolicy{MessagePerRequest, MessageBatched}[seed%2]
 		options.Pool.NoPreemption = seed%3 == 0
 
@@ -359,26 +359,26 @@
 			go func() {
 				defer close(ended)
 
-				n.disturb(rand.New(rand.NewPCG(seed, seed)), stop)
+				n.injectFaults(rand.New(rand.NewPCG(seed, seed)), stop)
 			}()
 
-			// Slots may be lost for the stated time, so that a refusal for want of them is an answer too.
+			// Slots may be lost for the guaranteed time, so a refusal because none is free is valid too.
 			for _, class := range []string{"chat", "counter"} {
-				failed := crowd(ctx, n, 400, class, 20*time.Millisecond, 60*time.Millisecond)
-				assert.Equal(t, failed, n.refused(classifier.TargetUnreachable), "seed %d", seed)
+				failed := runRequests(ctx, n, 400, class, 20*time.Millisecond, 60*time.Millisecond)
+				assert.Equal(t, failed, n.takeFailures(classifier.TargetUnreachable), "seed %d", seed)
 				assert.Assert(t, failed <= 8, "seed %d: %d of 400 %s", seed, failed, class)
 			}
 
 			close(stop)
 			<-ended
 			time.Sleep(5 * time.Second)
-			assert.Equal(t, n.inUse(), 0, "seed %d", seed)
-			assert.Equal(t, n.open(), 0, "seed %d", seed)
+			assert.Equal(t, n.slotsInUse(), 0, "seed %d", seed)
+			assert.Equal(t, n.openRequests(), 0, "seed %d", seed)
 		})
 	}
 }
 
-// only lists fixed live nodes.
-type only []string
+// fixedMembers is a fixed list of live nodes.
+type fixedMembers []string
 
-func (o only) Live() []string { return o }
+func (o fixedMembers) Live() []string { return o }
--- a/internal/granter/holder.go
+++ b/internal/granter/holder.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// staleAfter is how long a pool that this node doesn't hold may go without an
-	// ask before its knowledge counts as lost.
-	staleAfter = 3 * time.Second
-	// idlePoolFor is how long a pool that this node doesn't hold is kept without work.
-	idlePoolFor = time.Minute
-	// unknownServiceWait is what a caller is told when the holder's settings don't have the service yet.
-	unknownServiceWait = time.Second
+	// nonHolderStaleAfter is the time without a slot request after which this node's state
+	// of a pool that it doesn't hold counts as lost.
+	nonHolderStaleAfter = 3 * time.Second
+	// idlePoolTimeout is how long an idle pool that this node doesn't hold is kept.
+	idlePoolTimeout = time.Minute
+	// unknownServiceRetryAfter is the Retry-After of a request whose service is not in the holder's settings yet.
+	unknownServiceRetryAfter = time.Second
 )
 
 // Holder runs the pools that this node holds. It is safe for concurrent use.
@@ -30,15 +30,15 @@
 	options   Options
 	placement *placement
 	outbox    *outbox
-	// entry is this node's own router; nil until the router is made.
-	entry *Router
+	// router is the router of this node; nil until NewRouter sets it.
+	router *Router
 
 	mu    sync.Mutex
 	pools map[string]*heldPool
 }
 
-// NewHolder returns a holder without pools; a pool begins with its first ask.
-// Its work ends with ctx.
+// NewHolder returns a holder without pools; the first slot request of a pool creates it.
+// The holder's goroutines end with ctx.
 func NewHolder(ctx context.Context, settings Snapshotter, members Members, caller Caller, options Options) *Holder {
 	h := &Holder{
 		ctx:       ctx,
@@ -50,12 +50,12 @@
 		pools:     make(map[string]*heldPool),
 	}
 
-	h.outbox = newOutbox(h.send)
+	h.outbox = newOutbox(h.sendDecisions)
 
 	return h
 }
 
-// heldPool is one pool with its driver.
+// heldPool is one pool with its timer and the state of its entries.
 type heldPool struct {
 	name    string
 	service string
@@ -65,21 +65,21 @@
 	pool     *scheduler.Pool
 	revision int64
 	timer    *time.Timer
-	// mine says whether this node was the pool's holder when last looked at.
-	mine    bool
-	lastAsk time.Time
-	pacer   *pacer
-	// heardAt is when each entry with grants or requests last asked or answered a comparison.
-	heardAt map[string]time.Time
-	// rebuildBegan is when the rebuild began that is under way; zero for none.
-	rebuildBegan time.Time
+	// isHolder is whether this node was the pool's holder at the last check.
+	isHolder      bool
+	lastRequestAt time.Time
+	schedule      *comparisonSchedule
+	// lastHeardAt is when each entry with grants or requests last sent a request or answered a comparison.
+	lastHeardAt map[string]time.Time
+	// rebuildStartedAt is the start of the rebuild in progress; zero for none.
+	rebuildStartedAt time.Time
 }
 
-// Stats returns the counters of all pools that this node holds or held lately, by pool.
+// Stats returns the counters of all pools that this node holds or recently held, by pool.
 func (h *Holder) Stats() map[string]scheduler.Stats {
 	stats := make(map[string]scheduler.Stats)
 
-	for _, p := range h.held() {
+	for _, p := range h.allPools() {
 		p.mu.Lock()
 		stats[p.name] = p.pool.Stats()
 		p.mu.Unlock()
@@ -88,7 +88,7 @@
 	return stats
 }
 
-func (h *Holder) held() []*heldPool {
+func (h *Holder) allPools() []*heldPool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 
@@ -100,76 +100,76 @@
 	return pools
 }
 
-// take carries out the asks, releases and cancels of an entry. Releases come
-// first: they free slots for the asks.
-func (h *Holder) take(entry string, params askParams) askResult {
+// handleMessage handles the slot requests, releases and cancellations of an entry.
+// Releases come first, because they free slots for the requests.
+func (h *Holder) handleMessage(entry string, params entryParams) entryResult {
 	if params.empty() {
-		h.doubt()
+		h.markPoolsStale()
 	}
 
 	for i := range params.Releases {
 		release := &params.Releases[i]
-		h.drive(h.find(release.Pool), func(now time.Time, p *scheduler.Pool) []scheduler.Decision {
-			return p.Finish(now, release.GrantID, release.report())
+		h.apply(h.findPool(release.Pool), func(now time.Time, p *scheduler.Pool) []scheduler.Decision {
+			return p.Finish(now, release.GrantID, release.schedulerReport())
 		})
 	}
 
 	for _, cancel := range params.Cancels {
-		h.drive(h.find(cancel.Pool), func(now time.Time, p *scheduler.Pool) []scheduler.Decision {
+		h.apply(h.findPool(cancel.Pool), func(now time.Time, p *scheduler.Pool) []scheduler.Decision {
 			return p.Cancel(now, cancel.ID)
 		})
 	}
 
-	for _, pool := range params.Elsewhere {
-		if p := h.find(pool); p != nil {
-			p.hurry(entry)
+	for _, pool := range params.MovedPools {
+		if p := h.findPool(pool); p != nil {
+			p.compareSoon(entry)
 		}
 	}
 
-	answers := make([]decision, len(params.Asks))
-	for i := range params.Asks {
-		answers[i] = h.ask(entry, &params.Asks[i])
+	answers := make([]decision, len(params.Requests))
+	for i := range params.Requests {
+		answers[i] = h.submit(entry, &params.Requests[i])
 	}
 
-	return askResult{Answers: answers}
+	return entryResult{Answers: answers}
 }
 
-// doubt makes the next ask of each pool begin a rebuild. An entry probes with an
-// empty message when this node was silent; then others may have granted in its
-// place, and it would grant the same slots again.
-func (h *Holder) doubt() {
-	for _, p := range h.held() {
+// markPoolsStale makes the next slot request of each pool start a rebuild. An entry
+// probes with an empty message after this node didn't answer. Other nodes may have
+// granted slots in its place meanwhile, and it would grant the same ones again.
+func (h *Holder) markPoolsStale() {
+	for _, p := range h.allPools() {
 		p.mu.Lock()
-		p.mine = false
-		p.lastAsk = time.Time{}
-		p.pacer.hurryAll()
+		p.isHolder = false
+		p.lastRequestAt = time.Time{}
+		p.schedule.resetAll()
 		p.mu.Unlock()
 	}
 }
 
-// ask submits one ask. The answer takes the ask's own decision along; all others go through the outbox.
-func (h *Holder) ask(entry string, item *askItem) decision {
-	p := h.open(item.Service, item.Part)
+// submit submits one slot request. The answer contains the decision on this request; all others go through the outbox.
+func (h *Holder) submit(entry string, request *slotRequest) decision {
+	p := h.openPool(request.Service, request.Part)
 	if p == nil {
-		return decision{State: stateRefused, ID: item.ID, Code: classifier.UnknownService, RetryAfter: unknownServiceWait}
+		return decision{State: stateRefused, ID: request.ID, Code: classifier.UnknownService, RetryAfter: unknownServiceRetryAfter}
 	}
 
-	h.claim(p)
+	h.rebuildIfStale(p)
 
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
-	p.heardAt[entry] = time.Now()
+	p.lastHeardAt[entry] = time.Now()
 
-	if item.Compare {
-		p.pacer.hurry(entry)
+	if request.CompareSoon {
+		p.schedule.reset(entry)
 	}
 
-	answer := decision{State: stateQueued, ID: item.ID, Pool: p.name}
-	decisions := p.pool.Submit(time.Now(), item.request(entry))
+	answer := decision{State: stateQueued, ID: request.ID, Pool: p.name}
+	decisions := p.pool.Submit(time.Now(), request.schedulerRequest(entry))
 
 	for _, d := range decisions {
-		if d.RequestID == item.ID && d.Kind != scheduler.Preempt {
+		if d.RequestID == request.ID && d.Kind != scheduler.Preempt {
 			answer = newDecision(p.name, d)
 
 			continue
@@ -178,13 +178,13 @@
 		h.outbox.add(d.Entry, newDecision(p.name, d))
 	}
 
-	h.arm(p)
+	h.scheduleTick(p)
 
 	return answer
 }
 
-// drive runs one event of a pool and sends what it decided. A nil pool is nothing to drive.
-func (h *Holder) drive(p *heldPool, event func(time.Time, *scheduler.Pool) []scheduler.Decision) {
+// apply applies one event to a pool and sends the resulting decisions. A nil pool is ignored.
+func (h *Holder) apply(p *heldPool, event func(time.Time, *scheduler.Pool) []scheduler.Decision) {
 	if p == nil {
 		return
 	}
@@ -197,11 +197,11 @@
 	}
 
 	h.logRebuild(p)
-	h.arm(p)
+	h.scheduleTick(p)
 }
 
-// arm sets the timer of the pool's next tick. The caller holds p.mu.
-func (h *Holder) arm(p *heldPool) {
+// scheduleTick sets the timer for the pool's next tick. The caller holds p.mu.
+func (h *Holder) scheduleTick(p *heldPool) {
 	next := p.pool.NextTick()
 	if next.IsZero() || h.ctx.Err() != nil {
 		p.timer.Stop()
@@ -213,19 +213,19 @@
 }
 
 func (h *Holder) tick(p *heldPool) {
-	h.drive(p, func(now time.Time, pool *scheduler.Pool) []scheduler.Decision { return pool.Tick(now) })
+	h.apply(p, func(now time.Time, pool *scheduler.Pool) []scheduler.Decision { return pool.Tick(now) })
 }
 
-func (h *Holder) find(name string) *heldPool {
+func (h *Holder) findPool(name string) *heldPool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 
 	return h.pools[name]
 }
 
-// queues says whether requests wait in a pool of this node.
-func (h *Holder) queues(name string) bool {
-	p := h.find(name)
+// hasWaiting reports whether requests wait in a pool of this node.
+func (h *Holder) hasWaiting(name string) bool {
+	p := h.findPool(name)
 	if p == nil {
 		return false
 	}
@@ -236,8 +236,8 @@
 	return p.pool.HasWaiting()
 }
 
-// open returns the pool, made when it is new, with the settings in force; nil when the service is unknown.
-func (h *Holder) open(service string, part int) *heldPool {
+// openPool returns the pool with the current settings, and creates it if needed. It returns nil if the service is unknown.
+func (h *Holder) openPool(service string, part int) *heldPool {
 	snapshot := h.settings.Snapshot()
 
 	settings, ok := snapshot.Services[service]
@@ -254,29 +254,29 @@
 		options := h.options.Pool
 		options.GrantPrefix = strings.Join([]string{h.options.Node, h.options.Incarnation, name, ""}, "/")
 		p = &heldPool{
-			name:     name,
-			service:  service,
-			part:     part,
-			pool:     scheduler.New(partOf(settings, part), options),
-			revision: snapshot.Revision,
-			pacer:    newPacer(h.options.ReconcileInterval, h.options.MaxReconcileInterval),
-			heardAt:  make(map[string]time.Time),
+			name:        name,
+			service:     service,
+			part:        part,
+			pool:        scheduler.New(partOf(settings, part), options),
+			revision:    snapshot.Revision,
+			schedule:    newComparisonSchedule(h.options.ReconcileInterval, h.options.MaxReconcileInterval),
+			lastHeardAt: make(map[string]time.Time),
 		}
 		p.timer = time.AfterFunc(time.Hour, func() { h.tick(p) })
 		p.timer.Stop()
 		h.pools[name] = p
 
-		go h.reconcile(p)
+		go h.reconcileLoop(p)
 	}
 
 	h.mu.Unlock()
-	h.refresh(p)
+	h.refreshSettings(p)
 
 	return p
 }
 
-// refresh applies a newer revision of the settings.
-func (h *Holder) refresh(p *heldPool) {
+// refreshSettings applies a newer revision of the settings.
+func (h *Holder) refreshSettings(p *heldPool) {
 	snapshot := h.settings.Snapshot()
 
 	p.mu.Lock()
@@ -288,7 +288,7 @@
 		return
 	}
 
-	h.drive(p, func(now time.Time, pool *scheduler.Pool) []scheduler.Decision {
+	h.apply(p, func(now time.Time, pool *scheduler.Pool) []scheduler.Decision {
 		pool.Update(partOf(settings, p.part))
 		p.revision = snapshot.Revision
 
@@ -296,12 +296,12 @@
 	})
 }
 
-// send delivers decisions to an entry. What can't be delivered is made good by
-// the entry's next ask or by the next comparison, which then comes soon.
-func (h *Holder) send(entry string, decisions []decision) {
-	if entry == h.options.Node && h.entry != nil {
+// sendDecisions sends decisions to an entry. The entry's next slot request or the next
+// comparison, which a failure brings forward, makes up for decisions that don't arrive.
+func (h *Holder) sendDecisions(entry string, decisions []decision) {
+	if entry == h.options.Node && h.router != nil {
 		for _, d := range decisions {
-			h.entry.decided(entry, d)
+			h.router.handleDecision(entry, d)
 		}
 
 		return
@@ -315,59 +315,59 @@
 		return
 	}
 
-	// An entry that can't be reached goes on asking; a line for each of its asks is for level debug only.
+	// An entry that can't be reached goes on sending requests; level debug avoids a line for each of them.
 	h.options.Logger.Debug().Str("entry", entry).Int("decisions", len(decisions)).Err(err).Msg("decisions_not_delivered")
 
 	for _, d := range decisions {
-		if p := h.find(d.Pool); p != nil {
-			p.hurry(entry)
+		if p := h.findPool(d.Pool); p != nil {
+			p.compareSoon(entry)
 		}
 	}
 }
 
-// outbox sends the decisions for each entry in their order, without holding up the pools.
+// outbox sends the decisions for each entry in order, without blocking the pools.
 type outbox struct {
 	send func(entry string, decisions []decision)
 
 	mu sync.Mutex
-	// waiting holds what is to be sent; an entry with a key has a goroutine that sends.
-	waiting map[string][]decision
+	// queued holds the decisions to send, by entry; each key has a goroutine that sends them.
+	queued map[string][]decision
 }
 
 func newOutbox(send func(string, []decision)) *outbox {
-	return &outbox{send: send, waiting: make(map[string][]decision)}
+	return &outbox{send: send, queued: make(map[string][]decision)}
 }
 
 func (o *outbox) add(entry string, d decision) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 
-	_, running := o.waiting[entry]
-	o.waiting[entry] = append(o.waiting[entry], d)
+	_, running := o.queued[entry]
+	o.queued[entry] = append(o.queued[entry], d)
 
 	if !running {
-		go o.run(entry)
+		go o.sendLoop(entry)
 	}
 }
 
-func (o *outbox) run(entry string) {
+func (o *outbox) sendLoop(entry string) {
 	for {
 		o.mu.Lock()
 
-		decisions := o.waiting[entry]
+		decisions := o.queued[entry]
 		if len(decisions) == 0 {
-			delete(o.waiting, entry)
+			delete(o.queued, entry)
 			o.mu.Unlock()
 
 			return
 		}
 
-		o.waiting[entry] = nil
+		o.queued[entry] = nil
 		o.mu.Unlock()
 		o.send(entry, decisions)
 	}
 }
 
-func askID(node, incarnation string, number uint64) string {
+func slotRequestID(node, incarnation string, number uint64) string {
 	return node + "/" + incarnation + "/" + strconv.FormatUint(number, 36)
 }
--- a/internal/granter/watcher.go
+++ b/internal/granter/holders.go
@@ -11,24 +11,24 @@
 	"quincepath.example/quincepath/internal/scheduler"
 )
 
-// probeEvery is the time between questions to a silent holder.
-const probeEvery = 250 * time.Millisecond
+// probeInterval is the time between probes of an unresponsive holder.
+const probeInterval = 250 * time.Millisecond
 
-// RouterCounters count since the router was made.
+// RouterCounters are the counters of a router since it was created.
 type RouterCounters struct {
-	// Messages counts messages sent to holders on other nodes.
+	// Messages is the number of messages sent to holders on other nodes.
 	Messages int64 `json:"messages"`
-	// FallbackAttempts counts attempts that ran without a holder's grant.
+	// FallbackAttempts is the number of attempts that ran without a holder's grant.
 	FallbackAttempts int64 `json:"without_holder"`
-	// HolderFailures counts the times at which a holder became silent.
+	// HolderFailures is the number of times that a holder became unresponsive.
 	HolderFailures int64 `json:"silences"`
 }
 
 type routerCounters struct {
 	messages atomic.Int64
-	// WithoutHolder and Silences are guarded by Router.mu.
-	WithoutHolder int64
-	Silences      int64
+	// fallbackAttempts and holderFailures are guarded by Router.mu.
+	fallbackAttempts int64
+	holderFailures   int64
 }
 
 // Counters returns a copy of the counters.
@@ -38,31 +38,31 @@
 
 	return RouterCounters{
 		Messages:         r.counters.messages.Load(),
-		FallbackAttempts: r.counters.WithoutHolder,
-		HolderFailures:   r.counters.Silences,
+		FallbackAttempts: r.counters.fallbackAttempts,
+		HolderFailures:   r.counters.holderFailures,
 	}
 }
 
-// Report is what a node publishes about slots.
+// Report contains the counters of slots that a node publishes.
 type Report struct {
-	// Entry counts for the requests of this node.
+	// Entry holds the counters of this node's own requests.
 	Entry RouterCounters `json:"entry"`
-	// Pools holds the counters of the pools that this node holds or held lately, by pool.
+	// Pools holds the counters of the pools that this node holds or recently held, by pool.
 	Pools map[string]scheduler.Stats `json:"pools"`
 }
 
-// Report returns all counters of this node, ready for expvar.
+// Report returns all counters of this node in a form that expvar can publish.
 func (r *Router) Report() Report {
 	return Report{Entry: r.Counters(), Pools: r.holder.Stats()}
 }
 
-// holderOf returns the pool's holder among the live nodes that answer, or "".
+// holderOf returns the pool's holder among the live and responsive nodes, or "" if there are none.
 func (r *Router) holderOf(pool string) string {
 	live := r.members.Live()
 
 	r.mu.Lock()
-	if len(r.silent) > 0 {
-		live = slices.DeleteFunc(slices.Clone(live), func(node string) bool { return r.silent[node] })
+	if len(r.unresponsive) > 0 {
+		live = slices.DeleteFunc(slices.Clone(live), func(node string) bool { return r.unresponsive[node] })
 	}
 	r.mu.Unlock()
 
@@ -97,30 +97,31 @@
 	return held
 }
 
-// suspect keeps a silent holder from being asked until it answers again. The
-// next holder is asked meanwhile; two holders cost some balance and no promise.
-func (r *Router) suspect(peer string, cause error) {
+// markUnresponsive excludes a holder that didn't answer until it answers again.
+// Meanwhile requests go to the next holder. Two holders of one pool make its load
+// less even, but break no guarantee.
+func (r *Router) markUnresponsive(holder string, cause error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
-	if r.silent[peer] || peer == r.options.Node {
+	if r.unresponsive[holder] || holder == r.options.Node {
 		return
 	}
 
-	r.silent[peer] = true
-	r.counters.Silences++
+	r.unresponsive[holder] = true
+	r.counters.holderFailures++
 
-	r.options.Logger.Warn().Str("holder", peer).AnErr("cause", cause).Msg("holder_silent")
+	r.options.Logger.Warn().Str("holder", holder).AnErr("cause", cause).Msg("holder_silent")
 
-	go r.probe(peer)
+	go r.probe(holder)
 }
 
-// probe asks a silent holder until it answers or is no longer among the live nodes.
-func (r *Router) probe(peer string) {
-	ticker := time.NewTicker(probeEvery)
+// probe pings an unresponsive holder until it answers or is no longer among the live nodes.
+func (r *Router) probe(holder string) {
+	ticker := time.NewTicker(probeInterval)
 	defer ticker.Stop()
 
-	began := time.Now()
+	start := time.Now()
 
 	for {
 		select {
@@ -129,22 +130,22 @@
 			return
 		}
 
-		answers := r.answers(peer)
-		if answers || !slices.Contains(r.members.Live(), peer) {
+		answered := r.ping(holder)
+		if answered || !slices.Contains(r.members.Live(), holder) {
 			r.mu.Lock()
-			delete(r.silent, peer)
+			delete(r.unresponsive, holder)
 			r.mu.Unlock()
 
-			r.options.Logger.Info().Str("holder", peer).Bool("answers", answers).Dur("silent_ms", time.Since(began)).Msg("holder_silence_ended")
+			r.options.Logger.Info().Str("holder", holder).Bool("answers", answered).Dur("silent_ms", time.Since(start)).Msg("holder_silence_ended")
 
 			return
 		}
 	}
 }
 
-func (r *Router) answers(peer string) bool {
+func (r *Router) ping(holder string) bool {
 	ctx, cancel := context.WithTimeout(r.ctx, r.options.HolderTimeout)
 	defer cancel()
 
-	return r.caller.Call(ctx, peer, MethodAsk, askParams{}, &askResult{}) == nil
+	return r.caller.Call(ctx, holder, MethodAsk, entryParams{}, &entryResult{}) == nil
 }
--- a/internal/granter/network_test.go
+++ b/internal/granter/network_test.go
@@ -20,28 +20,28 @@
 
 var errLost = errors.New("the message was lost")
 
-// network joins nodes by fake messages with a latency, in virtual time.
+// network connects nodes by simulated messages with a latency, in virtual time.
 type network struct {
-	mu    sync.Mutex
-	nodes map[string]*node
-	tree  settings
-	// down nodes take no messages; frozen ones answer none until they thaw.
+	mu       sync.Mutex
+	nodes    map[string]*node
+	settings settings
+	// down nodes receive no messages; frozen nodes answer none until they thaw.
 	down map[string]bool
-	// cut nodes take no messages either, but are still listed as live.
+	// cut nodes receive no messages either, but are still listed as live.
 	cut    map[string]bool
 	frozen map[string]chan struct{}
-	// loss is the share of messages that are lost.
+	// loss is the fraction of messages that are lost.
 	loss   float64
 	random *rand.Rand
-	// hidden nodes are missed by those with sight for members.
+	// hidden nodes are missing from partialMembers.
 	hidden map[string]bool
-	// dropped lists methods that are always lost.
+	// dropped contains the methods whose messages are always lost.
 	dropped map[string]bool
-	// messages and bytes count those sent, by method.
+	// messages and bytes are the numbers sent, by method.
 	messages, bytes map[string]int
-	// running counts attempts at each upstream, and most the largest number.
-	running, most map[string]int
-	// failures counts failed requests by their result.
+	// running is the current number of attempts at each upstream, peak the largest one.
+	running, peak map[string]int
+	// failures is the number of failed requests, by result code.
 	failures map[classifier.Code]int
 }
 
@@ -52,8 +52,8 @@
 	net    *network
 	holder *Holder
 	router *Router
-	// once makes the node's requests not repeatable.
-	once bool
+	// notRepeatable is set if the node's requests are not repeatable.
+	notRepeatable bool
 }
 
 func service(servers, slots int) configurer.Service {
@@ -80,7 +80,7 @@
 
 func (s settings) Snapshot() configurer.Snapshot { return s.snapshot }
 
-// firstServer stands in place of the baseline policy.
+// firstServer is a fallback that grants every slot on the first server.
 type firstServer struct{}
 
 func (firstServer) Acquire(context.Context, dispatcher.Ask) (dispatcher.Slot, error) {
@@ -93,7 +93,7 @@
 	n := &network{
 		nodes: map[string]*node{}, down: map[string]bool{}, hidden: map[string]bool{}, cut: map[string]bool{}, frozen: map[string]chan struct{}{},
 		random: rand.New(rand.NewPCG(1, 1)), dropped: map[string]bool{}, messages: map[string]int{}, bytes: map[string]int{},
-		running: map[string]int{}, most: map[string]int{}, failures: map[classifier.Code]int{},
+		running: map[string]int{}, peak: map[string]int{}, failures: map[classifier.Code]int{},
 	}
 
 	for i := range nodes {
@@ -107,7 +107,7 @@
 	options.Node = name
 	options.Incarnation = "1"
 	tree := settings{configurer.Snapshot{Revision: 1, Services: map[string]configurer.Service{s.Name: s}}}
-	n.tree = tree
+	n.settings = tree
 	node := &node{name: name, net: n}
 	node.holder = NewHolder(ctx, tree, n, node, options)
 	node.router = NewRouter(ctx, node.holder, firstServer{}, tree, n, node, options)
@@ -129,7 +129,7 @@
 		}
 	}
 
-	// The order of a map differs from call to call.
+	// Map iteration order is random.
 	for i := range live {
 		for j := i; j > 0 && live[j] < live[j-1]; j-- {
 			live[j], live[j-1] = live[j-1], live[j]
@@ -140,11 +140,11 @@
 }
 
 func (n *network) holderNode() *node {
-	return n.nodes[newPlacement(n.tree).holder(n.Live(), "assistente")]
+	return n.nodes[newPlacement(n.settings).holder(n.Live(), "assistente")]
 }
 
-// other returns a node that is not the holder.
-func (n *network) other() *node {
+// nonHolder returns a live node that is not the holder.
+func (n *network) nonHolder() *node {
 	for _, name := range n.Live() {
 		if name != n.holderNode().name {
 			return n.nodes[name]
@@ -154,8 +154,8 @@
 	return nil
 }
 
-// pass takes one message from a node to another, and says whether it arrived.
-func (n *network) pass(from, to, method string) (chan struct{}, bool) {
+// deliver simulates one message from a node to another, and reports whether it arrived.
+func (n *network) deliver(from, to, method string) (chan struct{}, bool) {
 	time.Sleep(latency)
 
 	n.mu.Lock()
@@ -168,7 +168,7 @@
 }
 
 func (n *network) handle(ctx context.Context, from, to, method string, params any) (any, error) {
-	frozen, arrived := n.pass(from, to, method)
+	frozen, arrived := n.deliver(from, to, method)
 	if !arrived {
 		<-ctx.Done()
 
@@ -199,7 +199,7 @@
 	return handlers[method](ctx, from, encoded)
 }
 
-// Call implements Caller. The message goes on when the caller gives up, as on a real network.
+// Call implements Caller. As on a real network, the message is delivered even if the caller gives up.
 func (n *node) Call(ctx context.Context, peer, method string, params, result any) error {
 	answered := make(chan error, 1)
 
@@ -210,7 +210,7 @@
 
 		answer, err = n.net.handle(ctx, n.name, peer, method, params)
 		if err == nil {
-			if _, arrived := n.net.pass(peer, n.name, method+" answer"); !arrived {
+			if _, arrived := n.net.deliver(peer, n.name, method+" answer"); !arrived {
 				<-ctx.Done()
 
 				err = errLost
@@ -248,10 +248,10 @@
 	return err
 }
 
-// run carries one request through a node and returns how long it waited for its slot.
+// run sends one request through a node and returns how long it waited for its slot.
 func (n *node) run(ctx context.Context, class string, duration time.Duration) (time.Duration, error) {
 	started := time.Now()
-	ask := dispatcher.Ask{RequestID: "r", Service: "assistente", Class: class, Organisation: "a", Repeatable: !n.once}
+	ask := dispatcher.Ask{RequestID: "r", Service: "assistente", Class: class, Organisation: "a", Repeatable: !n.notRepeatable}
 
 	slot, err := n.router.Acquire(ctx, ask)
 	waited := time.Since(started)
@@ -260,10 +260,10 @@
 		return waited, err
 	}
 
-	n.net.occupy(slot.Upstream.Name, 1)
+	n.net.addRunning(slot.Upstream.Name, 1)
 
 	tokens := 1 + int(duration/(10*time.Millisecond))
-	outcome := dispatcher.Outcome{Result: dispatcher.ResultDone, FirstToken: min(engineStart, duration), Duration: duration, Tokens: tokens}
+	outcome := dispatcher.Outcome{Result: dispatcher.ResultDone, FirstToken: min(timeToFirstToken, duration), Duration: duration, Tokens: tokens}
 
 	select {
 	case <-time.After(duration):
@@ -273,30 +273,30 @@
 		outcome.Result = dispatcher.ResultPreempted
 	}
 
-	n.net.occupy(slot.Upstream.Name, -1)
+	n.net.addRunning(slot.Upstream.Name, -1)
 	n.router.Release(slot, ask, outcome)
 
 	return waited, nil
 }
 
-func (n *network) occupy(upstream string, change int) {
+func (n *network) addRunning(upstream string, change int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 
 	n.running[upstream] += change
-	n.most[upstream] = max(n.most[upstream], n.running[upstream])
+	n.peak[upstream] = max(n.peak[upstream], n.running[upstream])
 }
 
-// note keeps the result of a failed request.
-func (n *network) note(err error) {
+// recordFailure counts a failed request by its result code.
+func (n *network) recordFailure(err error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 
 	n.failures[classifier.From(err).Code]++
 }
 
-// refused returns how many requests failed with a result since it was last asked.
-func (n *network) refused(code classifier.Code) int {
+// takeFailures returns how many requests failed with the result code since the last call.
+func (n *network) takeFailures(code classifier.Code) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 
@@ -306,29 +306,29 @@
 	return count
 }
 
-// counts returns copies of the present and the largest numbers of attempts.
-func (n *network) counts() (running, most map[string]int) {
+// runningAttempts returns copies of the current and the largest numbers of attempts, by upstream.
+func (n *network) runningAttempts() (running, most map[string]int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 
-	return maps.Clone(n.running), maps.Clone(n.most)
+	return maps.Clone(n.running), maps.Clone(n.peak)
 }
 
-// open counts asks and attempts that nodes still have.
-func (n *network) open() int {
+// openRequests returns the number of pending slot requests and attempts of all nodes.
+func (n *network) openRequests() int {
 	count := 0
 
 	for _, node := range n.nodes {
 		node.router.mu.Lock()
-		count += len(node.router.pending) + len(node.router.flights)
+		count += len(node.router.pending) + len(node.router.attempts)
 		node.router.mu.Unlock()
 	}
 
 	return count
 }
 
-// inUse sums what the pools of all nodes count as in use.
-func (n *network) inUse() int {
+// slotsInUse returns the number of slots in use according to the pools of all nodes.
+func (n *network) slotsInUse() int {
 	sum := 0
 
 	for _, node := range n.nodes {
@@ -342,6 +342,6 @@
 	return sum
 }
 
-func fixed() Options {
+func fixedSlotOptions() Options {
 	return Options{Pool: scheduler.Options{FixedSlots: true, Headroom: -1, NoPredictiveRefusals: true, NoPreemption: true}}
 }
--- a/internal/granter/pending.go
+++ b/internal/granter/pending.go
@@ -10,36 +10,38 @@
 	"quincepath.example/quincepath/internal/dispatcher"
 )
 
-// pending is one ask on its way to a decision.
-type pending struct {
-	// requestID is the id that the request's log lines carry; item.ID is that of the ask.
+// pendingRequest is a slot request without a decision.
+type pendingRequest struct {
+	// requestID is the id of the caller's request, for log lines; request.ID is that of the slot request.
 	requestID string
 
-	item  askItem
-	pool  string
-	class configurer.Class
-	// began is when the ask began, arrived when its request arrived at this node.
-	began, arrived time.Time
-	// peer is the holder asked last; Router.mu guards it, and only the asking goroutine writes it.
-	peer string
-	// asked is when the holder was last asked, answered whether it did, and logDue the wait
-	// at which the next line is due; only the asking goroutine uses them.
-	asked    time.Time
-	answered bool
-	logDue   time.Duration
-	// result takes the decision that ends the ask. Only the one who removes the
-	// ask from Router.pending sends, so that there is one at most.
+	request slotRequest
+	pool    string
+	class   configurer.Class
+	// startedAt is when the slot request started, arrivedAt when the caller's request arrived at this node.
+	startedAt, arrivedAt time.Time
+	// holder is the node to which the slot request was sent last. Router.mu guards it, and
+	// only the goroutine of Acquire writes it.
+	holder string
+	// lastSentAt is when the slot request was last sent, holderAnswered whether the holder
+	// answered it, and nextLogAfter the wait at which the next log line is due. Only the
+	// goroutine of Acquire uses them.
+	lastSentAt     time.Time
+	holderAnswered bool
+	nextLogAfter   time.Duration
+	// result receives the decision that ends the slot request. Only the goroutine that
+	// removes the request from Router.pending sends it, so there is at most one.
 	result chan decision
 }
 
-func (r *Router) begin(ask dispatcher.Ask, service configurer.Service) *pending {
-	id := askID(r.options.Node, r.options.Incarnation, r.number.Add(1))
+func (r *Router) register(ask dispatcher.Ask, service configurer.Service) *pendingRequest {
+	id := slotRequestID(r.options.Node, r.options.Incarnation, r.lastRequestNumber.Add(1))
 	part := r.partFor(&ask, service, id)
 	now := time.Now()
 
-	p := &pending{
+	p := &pendingRequest{
 		requestID: ask.RequestID,
-		item: askItem{
+		request: slotRequest{
 			ID:           id,
 			Service:      ask.Service,
 			Part:         part,
@@ -52,12 +54,12 @@
 
 			NotRepeatable: !ask.Repeatable,
 		},
-		pool:    poolName(service.Name, part),
-		class:   service.Classes[ask.Class],
-		began:   now,
-		arrived: now.Add(-ask.Waited),
-		logDue:  waitLogAfter,
-		result:  make(chan decision, 1),
+		pool:         poolName(service.Name, part),
+		class:        service.Classes[ask.Class],
+		startedAt:    now,
+		arrivedAt:    now.Add(-ask.Waited),
+		nextLogAfter: firstWaitLogAfter,
+		result:       make(chan decision, 1),
 	}
 
 	r.mu.Lock()
@@ -67,12 +69,11 @@
 	return p
 }
 
-// partFor picks the pool of a service that an ask goes to.
+// partFor chooses the pool of a service for a slot request.
 //
-// A pool of this node that is full, or whose servers may be those that failed an
-// earlier attempt, is not preferred: one caller that sends all to this node
-// would wait here while other pools are idle, and an attempt after a failure
-// would meet the same servers again.
+// A pool of this node is preferred, unless it is full or its servers may be those
+// that failed an earlier attempt. Otherwise, a caller that sends everything to this
+// node would wait while other pools are idle, and a retry would get the same servers again.
 func (r *Router) partFor(ask *dispatcher.Ask, service configurer.Service, askID string) int {
 	count := poolCount(service)
 	if count == 1 {
@@ -92,54 +93,54 @@
 	}
 
 	part := choosePart(holders, r.options.Node, number)
-	if holders[part] == r.options.Node && r.holder.queues(poolName(service.Name, part)) {
+	if holders[part] == r.options.Node && r.holder.hasWaiting(poolName(service.Name, part)) {
 		return spread
 	}
 
 	return part
 }
 
-// moveTo notes the holder that is asked next and returns the one asked before.
-func (r *Router) moveTo(p *pending, peer string) string {
+// setHolder sets the holder to which the slot request is sent next and returns the previous one.
+func (r *Router) setHolder(p *pendingRequest, holder string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
-	last := p.peer
-	p.peer = peer
+	previous := p.holder
+	p.holder = holder
 
-	return last
+	return previous
 }
 
-// decided takes a holder's decision, whether as an answer or later.
+// handleDecision handles a holder's decision, whether it came as an answer or later.
 //
-// A grant for an ask that is over would hold its slot until the next comparisons;
-// so it is cancelled at once. One that was taken already came twice and changes
-// nothing. An attempt that is preempted after its end is released: its holder,
-// which adopted it and was not told, takes the slot for one that is about to become
-// free and preempts no other for it.
-func (r *Router) decided(peer string, d decision) {
+// A grant for a slot request that has ended is cancelled at once, because it would
+// keep its slot in use until the next comparisons. A duplicate of a grant in use
+// changes nothing. A preemption of an attempt that has ended is answered by a
+// release: the holder adopted the attempt and wasn't told of its end. Without the
+// release it would treat the slot as about to become free and preempt no other attempt.
+func (r *Router) handleDecision(holder string, d decision) {
 	r.mu.Lock()
 
 	p := r.pending[d.ID]
-	f := r.flights[d.GrantID]
-	asked := peer
+	a := r.attempts[d.GrantID]
+	cancelTarget := holder
 
 	switch {
-	case d.State == statePreempt && f != nil:
-		if len(f.preemptors) == 0 {
-			close(f.preempted)
+	case d.State == statePreempt && a != nil:
+		if len(a.preemptors) == 0 {
+			close(a.preempted)
 		}
 
-		f.preemptors = append(f.preemptors, peer)
+		a.preemptors = append(a.preemptors, holder)
 	case p != nil && (d.State == stateGranted || d.State == stateRefused):
-		asked = p.peer
+		cancelTarget = p.holder
 		delete(r.pending, d.ID)
 
 		if d.State == stateGranted {
-			r.launch(newFlight(p, d.GrantID, d.Upstream, peer))
+			r.recordAttempt(newAttempt(p, d.GrantID, d.Upstream, holder))
 
-			if r.known[p.pool] != peer {
-				delete(r.known, p.pool)
+			if r.syncedHolders[p.pool] != holder {
+				delete(r.syncedHolders, p.pool)
 			}
 		}
 
@@ -148,83 +149,84 @@
 
 	r.mu.Unlock()
 
-	over := p == nil && f == nil
-	if (over && d.State == stateGranted) || asked != peer {
-		r.batcher.cancel(asked, cancelItem{Pool: d.Pool, ID: d.ID})
+	unknown := p == nil && a == nil
+	if (unknown && d.State == stateGranted) || cancelTarget != holder {
+		r.batcher.cancel(cancelTarget, slotCancel{Pool: d.Pool, ID: d.ID})
 	}
 
-	if over && d.State == statePreempt {
-		r.batcher.release(peer, releaseItem{Pool: d.Pool, GrantID: d.GrantID, Result: dispatcher.ResultPreempted})
+	if unknown && d.State == statePreempt {
+		r.batcher.release(holder, slotRelease{Pool: d.Pool, GrantID: d.GrantID, Result: dispatcher.ResultPreempted})
 	}
 }
 
-// leave ends an ask that goes without its holder and reserves its flight.
-// It returns nil when a decision is already there to be read, or when a lower
-// tier already runs as many attempts as this node lately had.
-func (r *Router) leave(p *pending) *flight {
+// startFallback ends a slot request whose holder doesn't answer and adds its attempt.
+// It returns nil if a decision is already available in p.result, or if a lower
+// tier already runs as many attempts as this node's recent peak.
+func (r *Router) startFallback(p *pendingRequest) *attempt {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
-	if _, open := r.pending[p.item.ID]; !open {
+	if _, open := r.pending[p.request.ID]; !open {
 		return nil
 	}
 
-	// The next holder that answers hasn't granted this one.
-	delete(r.known, p.pool)
+	// The next holder that answers doesn't know this attempt.
+	delete(r.syncedHolders, p.pool)
 
-	f := newFlight(p, p.item.ID+"/fallback", "", "")
-	if f.lower && !r.withinShare(p.pool) {
+	a := newAttempt(p, p.request.ID+"/fallback", "", "")
+	if a.lowerTier && !r.belowRecentPeak(p.pool) {
 		return nil
 	}
 
-	delete(r.pending, p.item.ID)
-	r.flights[f.item.GrantID] = f
-	r.counters.WithoutHolder++
+	delete(r.pending, p.request.ID)
+	r.attempts[a.state.GrantID] = a
+	r.counters.fallbackAttempts++
 
-	return f
+	return a
 }
 
-// knownAt says whether the holder knows all that this node has of the pool.
-// Asked by another holder's entry, it would count that capacity as free until a comparison.
-func (r *Router) knownAt(pool, holder string) bool {
+// isSynced reports whether the holder knows all grants that this node has of the
+// pool. A holder that doesn't know those of another holder counts their slots as
+// free until a comparison.
+func (r *Router) isSynced(pool, holder string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
-	return r.known[pool] == holder
+	return r.syncedHolders[pool] == holder
 }
 
-// learnKnown notes that a holder answered for the pool. The one before may still
-// serve other nodes, which see other nodes alive: it is told, or it would count
-// what the new one grants as free until its next comparison with this node.
-func (r *Router) learnKnown(pool, holder string) {
+// markSynced records that a holder answered for the pool. The previous holder is
+// notified: it may still serve nodes that see other live nodes, and would count the
+// slots that the new one grants as free until its next comparison with this node.
+func (r *Router) markSynced(pool, holder string) {
 	r.mu.Lock()
-	last := r.known[pool]
-	r.known[pool] = holder
+	previous := r.syncedHolders[pool]
+	r.syncedHolders[pool] = holder
 	r.mu.Unlock()
 
-	if last != "" && last != holder && slices.Contains(r.members.Live(), last) {
-		r.batcher.tell(last, askParams{Elsewhere: []string{pool}})
+	if previous != "" && previous != holder && slices.Contains(r.members.Live(), previous) {
+		r.batcher.notify(previous, entryParams{MovedPools: []string{pool}})
 	}
 }
 
-// withdraw ends an ask from this side and tells its holder. It returns false
-// when a decision is already there to be read.
-func (r *Router) withdraw(p *pending) bool {
+// withdraw ends a slot request and notifies its holder. It returns false if a
+// decision is already available in p.result.
+func (r *Router) withdraw(p *pendingRequest) bool {
 	r.mu.Lock()
-	_, open := r.pending[p.item.ID]
-	delete(r.pending, p.item.ID)
-	peer := p.peer
+	_, open := r.pending[p.request.ID]
+	delete(r.pending, p.request.ID)
+	holder := p.holder
 	r.mu.Unlock()
 
 	if open {
-		r.cancelAt(peer, p)
+		r.cancelAt(holder, p)
 	}
 
 	return open
 }
 
-// abandon ends an ask whether it is decided or not.
-func (r *Router) abandon(p *pending) {
+// abandon ends a slot request, whether or not it has a decision.
+func (r *Router) abandon(p *pendingRequest) {
 	if r.withdraw(p) {
 		return
 	}
@@ -234,23 +236,23 @@
 		return
 	}
 
-	r.giveBack(p, d.GrantID)
+	r.returnGrant(p, d.GrantID)
 }
 
-// giveBack returns a grant that was not used.
-func (r *Router) giveBack(p *pending, grantID string) {
+// returnGrant returns a grant that was not used to its holder.
+func (r *Router) returnGrant(p *pendingRequest, grantID string) {
 	r.mu.Lock()
-	f := r.flights[grantID]
-	delete(r.flights, grantID)
+	a := r.attempts[grantID]
+	delete(r.attempts, grantID)
 	r.mu.Unlock()
 
-	if f != nil {
-		r.cancelAt(f.peer, p)
+	if a != nil {
+		r.cancelAt(a.holder, p)
 	}
 }
 
-func (r *Router) cancelAt(peer string, p *pending) {
-	if peer != "" {
-		r.batcher.cancel(peer, cancelItem{Pool: p.pool, ID: p.item.ID})
+func (r *Router) cancelAt(holder string, p *pendingRequest) {
+	if holder != "" {
+		r.batcher.cancel(holder, slotCancel{Pool: p.pool, ID: p.request.ID})
 	}
 }
--- a/internal/granter/placement.go
+++ b/internal/granter/placement.go
@@ -12,22 +12,23 @@
 	"quincepath.example/quincepath/internal/scheduler"
 )
 
-// poolCount is the number of pools that the servers of a service are split into.
+// poolCount returns the number of pools that the servers of a service are split into.
 func poolCount(service configurer.Service) int {
 	return max(1, (len(service.Upstreams)+scheduler.MaxServers-1)/scheduler.MaxServers)
 }
 
-// choosePart picks the pool of a service that an ask goes to; holders names the
-// holder of each pool, and number is evenly spread over asks.
+// choosePart chooses the pool of a service for a slot request. Holders contains the
+// holder of each pool, and number is uniformly distributed over slot requests.
 //
-// A node that holds pools of the service takes its own first, so that an ask of
-// a caller that was steered here stays here. Callers are steered evenly between
-// holders, and not between pools: of three pools, two held by one node, the
-// third would get half of all asks. So a node takes for its own pools only their
-// share of the service, as a part of what one holder of several is sent; the
-// rest goes to the holders that are sent less than their pools' share, by how
-// much less. Then all pools get the same. Other nodes spread by the number
-// alone, which is even too, and so do all while no live node is known.
+// A node that holds pools of the service prefers its own, so that the request of a
+// caller that was steered to this node stays here. Callers are steered evenly to
+// holders, not to pools: with three pools, two of them held by one node, the third
+// would get half of all slot requests. So a node sends to its own pools only their
+// share of the service, relative to the share of callers that one holder gets. The
+// rest goes to the holders that get fewer callers than the share of their pools, in
+// proportion to the deficit. Then all pools get the same load. Nodes without pools
+// spread by the number alone, which is even too, and so do all nodes while no live
+// node is known.
 func choosePart(holders []string, self string, number uint64) int {
 	count := len(holders)
 	parts := partsByHolder(holders)
@@ -42,17 +43,17 @@
 		return own[number%uint64(len(own))]
 	}
 
-	lacking := make([]string, 0, count)
+	underloaded := make([]string, 0, count)
 
 	for _, holder := range slices.Sorted(maps.Keys(parts)) {
 		for range len(parts)*len(parts[holder]) - count {
-			lacking = append(lacking, holder)
+			underloaded = append(underloaded, holder)
 		}
 	}
 
-	others := parts[lacking[number%uint64(len(lacking))]]
+	others := parts[underloaded[number%uint64(len(underloaded))]]
 
-	return others[number/uint64(len(lacking))%uint64(len(others))]
+	return others[number/uint64(len(underloaded))%uint64(len(others))]
 }
 
 func partsByHolder(holders []string) map[string][]int {
@@ -74,7 +75,7 @@
 }
 
 // partOf returns the service with the servers of one of its pools only. Servers
-// are dealt out in name order, so that all nodes agree.
+// are distributed round robin in name order, so that all nodes agree.
 func partOf(service configurer.Service, part int) configurer.Service {
 	count := poolCount(service)
 	if count == 1 {
@@ -101,88 +102,88 @@
 	return service
 }
 
-// choices is the number of nodes that hashing chooses for a pool. At 370 nodes and
-// 220 pools 2 leave 22 nodes with two pools, 4 leave 7 and 8 leave one.
-const choices = 8
+// candidateHolders is the number of nodes that hashing chooses for a pool. With 370 nodes
+// and 220 pools, 2 candidates leave 22 nodes with two pools, 4 leave 7 and 8 leave one.
+const candidateHolders = 8
 
-// placement finds the holder of a pool: of some nodes that rendezvous hashing
-// chooses for it, the one that holds the fewest pools placed before.
+// placement determines the holder of each pool: of the candidates that rendezvous
+// hashing chooses for the pool, the one that holds the fewest of the pools placed before.
 //
-// One choice gives some nodes four pools and half of the nodes none. Callers
-// that are steered to the holders then fill these nodes, or are sent elsewhere
-// and their asks travel. The price is that a node that comes or goes moves more
-// pools than its own: a pool that gets another holder may turn the choice for
-// one that is placed after it. A bound on the pools of a node moves as few, but
-// half of all pools at once where it steps with the number of nodes. It is safe
-// for concurrent use.
+// A single candidate would give some nodes four pools and half of the nodes none.
+// Callers that are steered to the holders then overload these nodes, or go to other
+// nodes, whose slot requests need a message. The cost is that a node that joins or
+// leaves moves more pools than its own: a pool that gets another holder may change
+// the choice for pools placed after it. A bound on the pools per node moves equally
+// few, but moves half of all pools at once whenever the number of nodes changes the
+// bound. It is safe for concurrent use.
 type placement struct {
 	settings Snapshotter
 
 	mu sync.Mutex
-	// nodes is nil before the first look-up.
-	nodes *chooser.Chooser
-	// revision is that of the settings that pools are from.
+	// nodeChooser is nil before the first lookup.
+	nodeChooser *chooser.Chooser
+	// revision is the revision of the settings from which pools was computed.
 	revision int64
-	// pools are all pools of the settings, in the order in which they are placed.
+	// pools contains all pools of the settings, in the order of placement.
 	pools []string
-	// found keeps the holders among nodes, by pool.
-	found map[string]string
+	// holders caches the holder of each pool, by pool.
+	holders map[string]string
 }
 
 func newPlacement(settings Snapshotter) *placement {
 	return &placement{settings: settings}
 }
 
-// holder returns the node that holds the pool, or "" without nodes.
+// holder returns the node that holds the pool, or "" if there are no nodes.
 func (p *placement) holder(nodes []string, pool string) string {
 	snapshot := p.settings.Snapshot()
 
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
-	among, pools := p.nodes.WithNodes(nodes), p.pools
-	if p.nodes == nil || snapshot.Revision != p.revision {
-		pools = poolsOf(snapshot)
+	nodeChooser, pools := p.nodeChooser.WithNodes(nodes), p.pools
+	if p.nodeChooser == nil || snapshot.Revision != p.revision {
+		pools = poolNames(snapshot)
 	}
 
 	p.revision = snapshot.Revision
 
-	if among != p.nodes || !slices.Equal(pools, p.pools) {
-		p.nodes, p.pools = among, pools
-		p.found = place(among, pools)
+	if nodeChooser != p.nodeChooser || !slices.Equal(pools, p.pools) {
+		p.nodeChooser, p.pools = nodeChooser, pools
+		p.holders = placePools(nodeChooser, pools)
 	}
 
-	holder, ok := p.found[pool]
+	holder, ok := p.holders[pool]
 	if !ok {
-		// The service is not in this node's settings, as when it has just been made.
-		holder = p.nodes.Choose(pool)
-		p.found[pool] = holder
+		// The service is not in this node's settings, for example because it has just been created.
+		holder = p.nodeChooser.Choose(pool)
+		p.holders[pool] = holder
 	}
 
 	return holder
 }
 
-func place(among *chooser.Chooser, pools []string) map[string]string {
-	found, held := make(map[string]string, len(pools)), make(map[string]int)
+func placePools(nodeChooser *chooser.Chooser, pools []string) map[string]string {
+	holders, held := make(map[string]string, len(pools)), make(map[string]int)
 
 	for _, pool := range pools {
-		holder := among.Choose(pool)
+		holder := nodeChooser.Choose(pool)
 
-		for i := 1; i < choices; i++ {
-			if other := among.Choose(pool + "/" + strconv.Itoa(i)); held[other] < held[holder] {
+		for i := 1; i < candidateHolders; i++ {
+			if other := nodeChooser.Choose(pool + "/" + strconv.Itoa(i)); held[other] < held[holder] {
 				holder = other
 			}
 		}
 
-		found[pool] = holder
+		holders[pool] = holder
 		held[holder]++
 	}
 
-	return found
+	return holders
 }
 
-// poolsOf lists the pools of all services in name order.
-func poolsOf(snapshot configurer.Snapshot) []string {
+// poolNames returns the pools of all services in name order.
+func poolNames(snapshot configurer.Snapshot) []string {
 	var pools []string
 
 	for _, name := range slices.Sorted(maps.Keys(snapshot.Services)) {
--- a/internal/granter/placement_test.go
+++ b/internal/granter/placement_test.go
@@ -13,18 +13,18 @@
 	"quincepath.example/quincepath/internal/configurer"
 )
 
-// Symptom: of three pools, the one that a node held alone got half of all asks.
-// Sequence: callers are steered evenly to two holders, one of which holds two
-// pools; each asks its own. Cause: callers are spread over holders, not pools.
+// Guards against uneven pools: callers are steered evenly to holders, not to pools. With
+// two holders, one of which holds two of three pools, the third pool got half of all
+// slot requests when each holder used its own pools only.
 func TestPartsStayEvenUnderSteering(t *testing.T) {
 	const asks = 60_000
 
 	for _, holders := range [][]string{{"a", "b"}, {"a", "a", "b"}, {"a", "a", "a", "b", "c"}, {"a", "b", "b", "c", "c", "c"}} {
-		steered := slices.Compact(slices.Clone(holders))
+		entries := slices.Compact(slices.Clone(holders))
 		counts, local := make([]int, len(holders)), 0
 
 		for i := range asks {
-			self := steered[i%len(steered)]
+			self := entries[i%len(entries)]
 			part := choosePart(holders, self, xxhash.Sum64String(fmt.Sprint(i)))
 			counts[part]++
 
@@ -46,12 +46,12 @@
 }
 
 func TestOwnPoolIsAskedFirstUntilItQueues(t *testing.T) {
-	// 40 servers make two pools, each held by another node.
-	inVirtualTime(t, 3, 40, 1, fixed(), func(t *testing.T, ctx context.Context, n *network) {
+	// 40 servers make two pools, held by different nodes.
+	inVirtualTime(t, 3, 40, 1, fixedSlotOptions(), func(t *testing.T, ctx context.Context, n *network) {
 		holder := n.holderNode()
 		assert.Assert(t, holder.router.holderOf("assistente#1") != holder.name)
 
-		// The first ask begins a rebuild.
+		// The first slot request starts a rebuild.
 		_, err := holder.run(ctx, "chat", time.Millisecond)
 		assert.NilError(t, err)
 		time.Sleep(3 * time.Second)
@@ -66,21 +66,21 @@
 		assert.Equal(t, holder.holder.Stats()["assistente"].Granted["chat"], 21)
 		assert.Equal(t, n.messages[MethodAsk], before)
 
-		// 40 slots are there, 20 of them in this pool.
+		// There are 40 slots, 20 of them in this pool.
 		for range 20 {
 			go func() { _, _ = holder.run(ctx, "chat", time.Hour) }()
 		}
 
 		time.Sleep(time.Second)
-		assert.Assert(t, n.inUse() > 25, "%d", n.inUse())
+		assert.Assert(t, n.slotsInUse() > 25, "%d", n.slotsInUse())
 	})
 }
 
-// Symptom: load reports cost twice of what is used. Sequence: two nodes hold the
-// two pools of a service; each reads the reports of all 40 servers. Cause: a
-// holder was known by the service, not by the pool.
+// Guards against twice the necessary load reports: two nodes hold the two pools of a
+// service, and each reads the reports of all 40 servers if holders are determined by
+// service and not by pool.
 func TestEachUpstreamIsHeldOnce(t *testing.T) {
-	inVirtualTime(t, 3, 40, 1, fixed(), func(t *testing.T, _ context.Context, n *network) {
+	inVirtualTime(t, 3, 40, 1, fixedSlotOptions(), func(t *testing.T, _ context.Context, n *network) {
 		counts := make(map[string]int)
 
 		for name, node := range n.nodes {
@@ -102,10 +102,10 @@
 	})
 }
 
-// Symptom: a holder filled up under steered callers while others idled. Sequence: 220
-// pools are placed on 370 nodes; 44 hold two to four. Cause: each pool was
-// placed for itself. And: half of all pools moved when one of ten nodes went, by a
-// bound that stepped with the number of nodes.
+// Guards against overloaded holders while other nodes are idle: with 220 pools on 370
+// nodes and each pool placed independently, 44 nodes held two to four pools. Also
+// guards against moving half of all pools when one of ten nodes leaves, as happened
+// with a bound on the pools per node that changed with the number of nodes.
 func TestPoolsAreSpreadOverNodes(t *testing.T) {
 	for _, tt := range []struct{ nodes, services, most int }{{370, 110, 2}, {30, 11, 1}, {10, 4, 1}, {9, 5, 2}, {9, 2, 1}, {3, 4, 3}} {
 		snapshot := configurer.Snapshot{Services: make(map[string]configurer.Service)}
@@ -123,12 +123,12 @@
 		p := newPlacement(settings{snapshot})
 		before, counts := make(map[string]string), make(map[string]int)
 
-		for _, pool := range poolsOf(snapshot) {
+		for _, pool := range poolNames(snapshot) {
 			before[pool] = p.holder(nodes, pool)
 			counts[before[pool]]++
 		}
 
-		// Each node goes once, so that each pool is a lost node's own once.
+		// Each node is removed once, so each pool loses its holder once.
 		moved, hashed := 0, len(before)
 
 		for gone := range nodes {
--- a/internal/granter/prefixes_test.go
+++ b/internal/granter/prefixes_test.go
@@ -10,14 +10,14 @@
 	"quincepath.example/quincepath/internal/dispatcher"
 )
 
-// hintsFor names the upstream that has one prefix.
-type hintsFor struct {
+// prefixHint reports one prefix as cached on one upstream.
+type prefixHint struct {
 	upstream string
 	prefix   uint64
 }
 
 // CachedTokens implements scheduler.CacheHints.
-func (h hintsFor) CachedTokens(service, upstream string, prefixes []uint64) int {
+func (h prefixHint) CachedTokens(service, upstream string, prefixes []uint64) int {
 	if service == "assistente" && upstream == h.upstream && slices.Contains(prefixes, h.prefix) {
 		return 64
 	}
@@ -25,18 +25,17 @@
 	return 0
 }
 
-// Symptom: the holder never uses its hints.
-// Events: a request comes to an entry that isn't the holder.
-// Cause: the ask goes to the holder without the prompt's prefixes.
+// Guards against a holder that never uses its cache hints: the slot request of another
+// entry must contain the prompt's prefixes.
 func TestPrefixesReachTheHolder(t *testing.T) {
-	options := fixed()
-	options.Pool.CacheHints = hintsFor{upstream: "e03", prefix: 7}
+	options := fixedSlotOptions()
+	options.Pool.CacheHints = prefixHint{upstream: "e03", prefix: 7}
 
 	inVirtualTime(t, 3, 4, 2, options, func(t *testing.T, ctx context.Context, n *network) {
 		ask := dispatcher.Ask{Service: "assistente", Class: "chat", Organisation: "a", Repeatable: true, Prefixes: []uint64{7}}
-		slot, err := n.other().router.Acquire(ctx, ask)
+		slot, err := n.nonHolder().router.Acquire(ctx, ask)
 		assert.NilError(t, err)
 		assert.Equal(t, slot.Upstream.Name, "e03")
-		n.other().router.Release(slot, ask, dispatcher.Outcome{})
+		n.nonHolder().router.Release(slot, ask, dispatcher.Outcome{})
 	})
 }
--- a/internal/granter/reconciler.go
+++ b/internal/granter/reconciler.go
@@ -10,51 +10,53 @@
 	"quincepath.example/quincepath/internal/scheduler"
 )
 
-// asksToForget times ResendInterval is how long an entry may give no sign of life until it
-// counts as gone, even while the list of live nodes still names it.
+// entryTimeoutResends is the number of ResendIntervals without a message from an entry
+// after which it counts as gone, even if the list of live nodes still contains it.
 //
-// An entry that waits asks again each ResendInterval, and gets then what it was granted
-// meanwhile, if the decision was lost. Forgotten before, the grant would be made anew,
-// be lost as well, and so on for as long as the way to the entry is cut: its caller would get neither
-// an answer nor a refusal beside idle servers. One ask of two may be lost too.
-const asksToForget = 2
-
-// claim begins a rebuild when this node has just become the pool's holder, or
-// serves it in another's place after a time without asks: meanwhile others may have granted.
-func (h *Holder) claim(p *heldPool) {
+// A waiting entry sends its request again each ResendInterval, and the answer repeats a
+// grant whose decision was lost. If the entry were removed earlier, the grant would be
+// made anew and lost again for as long as messages can't reach the entry, and its caller
+// would get neither an answer nor a refusal although servers are idle. With two
+// intervals, one of two requests may be lost as well.
+const entryTimeoutResends = 2
+
+// rebuildIfStale starts a rebuild if this node has just become the pool's holder, or
+// if it serves the pool in another node's place and had no slot request for some time:
+// other nodes may have granted slots meanwhile.
+func (h *Holder) rebuildIfStale(p *heldPool) {
 	live := h.members.Live()
-	mine := h.placement.holder(live, p.name) == h.options.Node
+	isHolder := h.placement.holder(live, p.name) == h.options.Node
 	now := time.Now()
 
 	p.mu.Lock()
-	lost := (mine && !p.mine) || (!mine && now.Sub(p.lastAsk) > staleAfter)
-	p.mine = mine
-	p.lastAsk = now
+	stale := (isHolder && !p.isHolder) || (!isHolder && now.Sub(p.lastRequestAt) > nonHolderStaleAfter)
+	p.isHolder = isHolder
+	p.lastRequestAt = now
 
-	if lost {
-		p.pacer.hurryAll()
+	if stale {
+		p.schedule.resetAll()
 	}
 
 	p.mu.Unlock()
 
-	if !lost {
+	if !stale {
 		return
 	}
 
-	h.drive(p, func(now time.Time, pool *scheduler.Pool) []scheduler.Decision {
+	h.apply(p, func(now time.Time, pool *scheduler.Pool) []scheduler.Decision {
 		return pool.Rebuild(now, live)
 	})
 
-	// What this node itself runs is known at once, before the first grant.
+	// This node's own attempts are reconciled before the first grant; that needs no message.
 	if slices.Contains(live, h.options.Node) {
-		h.compareOne(p, h.options.Node, now)
+		h.compareEntry(p, h.options.Node, now)
 	}
 
-	go h.compare(p, live, now)
+	go h.compareEntries(p, live, now)
 }
 
-// reconcile compares the pool's grants with its entries until the pool is idle and not held here.
-func (h *Holder) reconcile(p *heldPool) {
+// reconcileLoop compares the pool's grants with its entries until the pool is idle and held by another node.
+func (h *Holder) reconcileLoop(p *heldPool) {
 	ticker := time.NewTicker(h.options.ReconcileInterval)
 	defer ticker.Stop()
 
@@ -67,13 +69,13 @@
 			return
 		}
 
-		h.refresh(p)
+		h.refreshSettings(p)
 		h.logWithheld(p)
 
 		entries := h.entriesOf(p)
-		h.compare(p, h.dueOf(p, entries, now), now)
+		h.compareEntries(p, h.dueEntries(p, entries, now), now)
 
-		if len(entries) == 0 && h.retire(p) {
+		if len(entries) == 0 && h.closeIfIdle(p) {
 			return
 		}
 	}
@@ -86,34 +88,34 @@
 	return p.pool.Entries()
 }
 
-// dueOf returns those of the pool's entries that the round of this time
-// compares. This node itself costs no message, and of an entry that is no longer
-// live nothing is to be waited for.
-func (h *Holder) dueOf(p *heldPool, entries []string, now time.Time) []string {
+// dueEntries returns the entries to compare in the round that starts at now. It always
+// includes this node, which needs no message, and entries that are no longer live,
+// for which there is nothing to wait for.
+func (h *Holder) dueEntries(p *heldPool, entries []string, now time.Time) []string {
 	live := h.members.Live()
 
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
-	p.pacer.keep(entries)
-	maps.DeleteFunc(p.heardAt, func(entry string, _ time.Time) bool { return !slices.Contains(entries, entry) })
+	p.schedule.retain(entries)
+	maps.DeleteFunc(p.lastHeardAt, func(entry string, _ time.Time) bool { return !slices.Contains(entries, entry) })
 
 	return slices.DeleteFunc(slices.Clone(entries), func(entry string) bool {
-		return !p.pacer.due(now, entry) && entry != h.options.Node && slices.Contains(live, entry)
+		return !p.schedule.due(now, entry) && entry != h.options.Node && slices.Contains(live, entry)
 	})
 }
 
-// hurry has the entry compared in the next two rounds.
-func (p *heldPool) hurry(entry string) {
+// compareSoon makes the entry due in the next two rounds.
+func (p *heldPool) compareSoon(entry string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
-	p.pacer.hurry(entry)
+	p.schedule.reset(entry)
 }
 
-// retire drops an idle pool that another node holds, and says whether it did.
-func (h *Holder) retire(p *heldPool) bool {
-	mine := h.placement.holder(h.members.Live(), p.name) == h.options.Node
+// closeIfIdle removes an idle pool that another node holds, and reports whether it did.
+func (h *Holder) closeIfIdle(p *heldPool) bool {
+	isHolder := h.placement.holder(h.members.Live(), p.name) == h.options.Node
 
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -121,8 +123,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
-	p.mine = p.mine && mine
-	if mine || time.Since(p.lastAsk) < idlePoolFor || len(p.pool.Entries()) > 0 {
+	p.isHolder = p.isHolder && isHolder
+	if isHolder || time.Since(p.lastRequestAt) < idlePoolTimeout || len(p.pool.Entries()) > 0 {
 		return false
 	}
 
@@ -132,59 +134,60 @@
 	return true
 }
 
-// compare asks the entries at the same time what they have in flight; round is when that began.
-func (h *Holder) compare(p *heldPool, entries []string, round time.Time) {
+// compareEntries compares the pool's grants with all given entries concurrently; roundStart is the start of the round.
+func (h *Holder) compareEntries(p *heldPool, entries []string, roundStart time.Time) {
 	var group sync.WaitGroup
 
 	for _, entry := range entries {
-		group.Go(func() { h.compareOne(p, entry, round) })
+		group.Go(func() { h.compareEntry(p, entry, roundStart) })
 	}
 
 	group.Wait()
 }
 
-// compareOne compares the pool's grants with what one entry has in flight. The
-// entry lists it only if it differs from what the holder knew when it asked: in
-// nearly all comparisons nothing differs, and the lists grow with what is in flight.
-func (h *Holder) compareOne(p *heldPool, entry string, round time.Time) {
-	known := h.grantsOf(p, entry)
+// compareEntry compares the pool's grants with the attempts that one entry has in
+// flight. The entry lists its attempts only if they differ from the grants that the
+// holder knew when it sent the query: nearly all comparisons match, and the lists
+// grow with the number of attempts in flight.
+func (h *Holder) compareEntry(p *heldPool, entry string, roundStart time.Time) {
+	known := h.grantIDsOf(p, entry)
 
-	result, err := h.flightsOf(entry, p.name, known)
+	result, err := h.fetchAttempts(entry, p.name, known)
 	if err != nil {
-		h.missed(p, entry)
+		h.comparisonFailed(p, entry)
 
 		return
 	}
 
-	h.drive(p, func(now time.Time, pool *scheduler.Pool) []scheduler.Decision {
-		p.heardAt[entry] = now
+	h.apply(p, func(now time.Time, pool *scheduler.Pool) []scheduler.Decision {
+		p.lastHeardAt[entry] = now
 
 		if result.Same {
-			p.pacer.agreed(round, entry)
+			p.schedule.recordMatch(roundStart, entry)
 
 			return pool.ReconcileIDs(now, entry, known)
 		}
 
-		p.pacer.hurry(entry)
+		p.schedule.reset(entry)
 
-		return pool.Reconcile(now, entry, result.inFlight(now, entry))
+		return pool.Reconcile(now, entry, result.schedulerInFlight(now, entry))
 	})
 }
 
-func (h *Holder) grantsOf(p *heldPool, entry string) []string {
+func (h *Holder) grantIDsOf(p *heldPool, entry string) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
 	return p.pool.GrantIDs(entry)
 }
 
-func (h *Holder) flightsOf(entry, pool string, known []string) (inFlightResult, error) {
+func (h *Holder) fetchAttempts(entry, pool string, known []string) (inFlightResult, error) {
 	if entry == h.options.Node {
-		if h.entry == nil {
+		if h.router == nil {
 			return inFlightResult{}, nil
 		}
 
-		return h.entry.inFlight(pool), nil
+		return h.router.attemptsOn(pool), nil
 	}
 
 	ctx, cancel := context.WithTimeout(h.ctx, h.options.ReconcileInterval)
@@ -202,26 +205,26 @@
 	return result, err
 }
 
-// missed notes that an entry didn't answer, and forgets it when it is gone.
-func (h *Holder) missed(p *heldPool, entry string) {
+// comparisonFailed handles an entry that didn't answer, and removes it if it is gone.
+func (h *Holder) comparisonFailed(p *heldPool, entry string) {
 	if h.ctx.Err() != nil {
 		return
 	}
 
 	gone := !slices.Contains(h.members.Live(), entry)
 
-	h.drive(p, func(now time.Time, pool *scheduler.Pool) []scheduler.Decision {
-		p.pacer.hurry(entry)
+	h.apply(p, func(now time.Time, pool *scheduler.Pool) []scheduler.Decision {
+		p.schedule.reset(entry)
 
-		if _, known := p.heardAt[entry]; !known {
-			p.heardAt[entry] = now
+		if _, known := p.lastHeardAt[entry]; !known {
+			p.lastHeardAt[entry] = now
 		}
 
-		if !gone && now.Sub(p.heardAt[entry]) < asksToForget*h.options.ResendInterval {
+		if !gone && now.Sub(p.lastHeardAt[entry]) < entryTimeoutResends*h.options.ResendInterval {
 			return nil
 		}
 
-		delete(p.heardAt, entry)
+		delete(p.lastHeardAt, entry)
 
 		h.options.Logger.Warn().
 			Str("pool", p.name).
@@ -234,22 +237,22 @@
 	})
 }
 
-func (r inFlightResult) inFlight(now time.Time, entry string) []scheduler.InFlight {
-	flights := make([]scheduler.InFlight, len(r.Flights))
+func (r inFlightResult) schedulerInFlight(now time.Time, entry string) []scheduler.InFlight {
+	inFlight := make([]scheduler.InFlight, len(r.Attempts))
 
-	for i, f := range r.Flights {
-		flights[i] = scheduler.InFlight{
-			GrantID:      f.GrantID,
-			RequestID:    f.ID,
+	for i, a := range r.Attempts {
+		inFlight[i] = scheduler.InFlight{
+			GrantID:      a.GrantID,
+			RequestID:    a.ID,
 			Entry:        entry,
-			Upstream:     f.Upstream,
-			Class:        f.Class,
-			Organisation: f.Organisation,
-			StartedAt:    now.Add(-f.Age),
+			Upstream:     a.Upstream,
+			Class:        a.Class,
+			Organisation: a.Organisation,
+			StartedAt:    now.Add(-a.Age),
 
-			NotRepeatable: f.NotRepeatable,
+			NotRepeatable: a.NotRepeatable,
 		}
 	}
 
-	return flights
+	return inFlight
 }
--- a/internal/granter/router.go
+++ b/internal/granter/router.go
@@ -14,63 +14,64 @@
 
 const (
 	topTier = 1
-	// lookAgainAfter is the time after which a queued ask looks whether its holder still is one.
-	lookAgainAfter = time.Second
-	// noHolderWait is what a caller is told when no holder answered within the class's MaxWait.
-	noHolderWait = 2 * time.Second
+	// holderCheckInterval is the time after which a queued slot request checks whether the pool has another holder.
+	holderCheckInterval = time.Second
+	// noHolderRetryAfter is the Retry-After of a request that no holder answered within the class's MaxWait.
+	noHolderRetryAfter = 2 * time.Second
 )
 
-// Router implements dispatcher.Slotter for the requests of this node: it asks
-// the holder of the pool and, while that is silent, goes without. It is safe for concurrent use.
+// Router implements dispatcher.Slotter for the requests of this node. It requests slots
+// from the holder of the pool, and from the fallback while the holder doesn't answer.
+// It is safe for concurrent use.
 type Router struct {
-	ctx       context.Context
-	settings  Snapshotter
-	members   Members
-	caller    Caller
-	fallback  dispatcher.Slotter
-	holder    *Holder
-	options   Options
-	placement *placement
-	batcher   *batcher
-	number    atomic.Uint64
-	counters  routerCounters
+	ctx               context.Context
+	settings          Snapshotter
+	members           Members
+	caller            Caller
+	fallback          dispatcher.Slotter
+	holder            *Holder
+	options           Options
+	placement         *placement
+	batcher           *batcher
+	lastRequestNumber atomic.Uint64
+	counters          routerCounters
 
 	mu sync.Mutex
-	// pending holds asks that are not decided, by ask id.
-	pending map[string]*pending
-	// flights holds what runs, by grant id.
-	flights map[string]*flight
-	// shares holds what lower tiers of this node lately had of each pool, by pool.
-	shares map[string]*share
-	// known holds the holder, by pool, that knows all grants which this node has of
-	// the pool as far as this node can tell: none before its first answer, or once
-	// the node ran something without it.
-	known map[string]string
-	// silent holds nodes that didn't answer and have not answered since.
-	silent map[string]bool
+	// pending holds the slot requests without a decision, by slot request id.
+	pending map[string]*pendingRequest
+	// attempts holds the running attempts, by grant id.
+	attempts map[string]*attempt
+	// recentPeaks holds the recent peak of lower-tier attempts of this node, by pool.
+	recentPeaks map[string]*recentPeak
+	// syncedHolders holds the holder, by pool, that knows all grants that this node has of
+	// the pool, as far as this node can tell. A pool has none before the first answer, or
+	// after the node ran an attempt without a grant of the holder.
+	syncedHolders map[string]string
+	// unresponsive contains the nodes that failed to answer and haven't answered since.
+	unresponsive map[string]bool
 }
 
 // NewRouter returns the router of a node whose own pools are run by holder.
-// Fallback grants slots while no holder answers. Its work ends with ctx.
+// Fallback grants slots while no holder answers. The router's goroutines end with ctx.
 func NewRouter(ctx context.Context, holder *Holder, fallback dispatcher.Slotter, settings Snapshotter, members Members, caller Caller, options Options) *Router {
 	r := &Router{
-		ctx:       ctx,
-		settings:  settings,
-		members:   members,
-		caller:    caller,
-		fallback:  fallback,
-		holder:    holder,
-		options:   options.withDefaults(),
-		placement: newPlacement(settings),
-		pending:   make(map[string]*pending),
-		flights:   make(map[string]*flight),
-		shares:    make(map[string]*share),
-		known:     make(map[string]string),
-		silent:    make(map[string]bool),
+		ctx:           ctx,
+		settings:      settings,
+		members:       members,
+		caller:        caller,
+		fallback:      fallback,
+		holder:        holder,
+		options:       options.withDefaults(),
+		placement:     newPlacement(settings),
+		pending:       make(map[string]*pendingRequest),
+		attempts:      make(map[string]*attempt),
+		recentPeaks:   make(map[string]*recentPeak),
+		syncedHolders: make(map[string]string),
+		unresponsive:  make(map[string]bool),
 	}
 
 	r.batcher = newBatcher(r)
-	holder.entry = r
+	holder.router = r
 
 	return r
 }
@@ -82,80 +83,81 @@
 		return dispatcher.Slot{}, classifier.New(classifier.UnknownService, "service %q left the settings tree", ask.Service)
 	}
 
-	p := r.begin(ask, service)
+	p := r.register(ask, service)
 
 	for {
-		again := r.askAgain(p)
-		p.asked = time.Now()
+		resendAfter := r.resendInterval(p)
+		p.lastSentAt = time.Now()
 
-		p.answered = r.askHolder(ctx, p)
-		if !p.answered && ask.Spare {
+		p.holderAnswered = r.sendToHolder(ctx, p)
+		if !p.holderAnswered && ask.Spare {
 			r.abandon(p)
 
-			return dispatcher.Slot{}, classifier.New(classifier.NoUpstream, "no holder of pool %q answered", p.pool).After(noHolderWait)
+			return dispatcher.Slot{}, classifier.New(classifier.NoUpstream, "no holder of pool %q answered", p.pool).After(noHolderRetryAfter)
 		}
 
-		if !p.answered {
-			slot, ok, err := r.goWithout(ctx, p, ask)
+		if !p.holderAnswered {
+			slot, ok, err := r.acquireFallback(ctx, p, ask)
 			if ok || err != nil {
 				return slot, err
 			}
 
-			again = r.options.HolderTimeout
+			resendAfter = r.options.HolderTimeout
 		}
 
-		d, err := r.await(ctx, p, again)
+		d, err := r.awaitDecision(ctx, p, resendAfter)
 		if err != nil {
 			return dispatcher.Slot{}, err
 		}
 
 		switch d.State {
 		case stateGranted:
-			return r.slot(p, d)
+			return r.slotOf(p, d)
 		case stateRefused:
 			return dispatcher.Slot{}, classifier.New(d.Code, "the holder of pool %q refused the request", p.pool).After(d.RetryAfter)
 		}
 	}
 }
 
-// askHolder sends the ask to the present holder and says whether it answered.
-func (r *Router) askHolder(ctx context.Context, p *pending) bool {
-	peer := r.holderOf(p.pool)
-	if peer == "" {
+// sendToHolder sends the slot request to the current holder and reports whether it
+// answered. It returns true as well if ctx ended first.
+func (r *Router) sendToHolder(ctx context.Context, p *pendingRequest) bool {
+	holder := r.holderOf(p.pool)
+	if holder == "" {
 		return false
 	}
 
-	if last := r.moveTo(p, peer); last != "" && last != peer {
-		r.batcher.cancel(last, cancelItem{Pool: p.pool, ID: p.item.ID})
+	if previous := r.setHolder(p, holder); previous != "" && previous != holder {
+		r.batcher.cancel(previous, slotCancel{Pool: p.pool, ID: p.request.ID})
 	}
 
-	item := p.item
-	item.Queued = time.Since(p.began)
-	item.Waited = time.Since(p.arrived)
-	item.Compare = !r.knownAt(p.pool, peer)
+	request := p.request
+	request.Queued = time.Since(p.startedAt)
+	request.Waited = time.Since(p.arrivedAt)
+	request.CompareSoon = !r.isSynced(p.pool, holder)
 
-	answer, err := r.batcher.ask(ctx, peer, item, p.class.Tier == topTier)
+	answer, err := r.batcher.request(ctx, holder, request, p.class.Tier == topTier)
 	if err != nil && ctx.Err() == nil {
-		r.suspect(peer, err)
+		r.markUnresponsive(holder, err)
 
 		return false
 	}
 
 	if err == nil {
-		r.learnKnown(p.pool, peer)
-		r.decided(peer, answer)
+		r.markSynced(p.pool, holder)
+		r.handleDecision(holder, answer)
 	}
 
 	return true
 }
 
-// await waits until the ask is decided, or until it is time to ask again; then the state is stateQueued.
-func (r *Router) await(ctx context.Context, p *pending, again time.Duration) (decision, error) {
-	timer := time.NewTimer(again)
+// awaitDecision waits for the decision, or until the slot request must be sent again; then the state is stateQueued.
+func (r *Router) awaitDecision(ctx context.Context, p *pendingRequest, resendAfter time.Duration) (decision, error) {
+	timer := time.NewTimer(resendAfter)
 	defer timer.Stop()
 
-	look := time.NewTicker(lookAgainAfter)
-	defer look.Stop()
+	holderCheck := time.NewTicker(holderCheckInterval)
+	defer holderCheck.Stop()
 
 	for {
 		select {
@@ -169,19 +171,19 @@
 			r.logWait(p)
 
 			return decision{State: stateQueued}, nil
-		case <-look.C:
+		case <-holderCheck.C:
 			r.logWait(p)
 
-			if r.holderOf(p.pool) != p.peer {
+			if r.holderOf(p.pool) != p.holder {
 				return decision{State: stateQueued}, nil
 			}
 		}
 	}
 }
 
-// askAgain is short for tier 1, so that it notices within HolderTimeout when a
-// holder dies that had it queued.
-func (r *Router) askAgain(p *pending) time.Duration {
+// resendInterval is short for tier 1, so that a queued request notices within
+// HolderTimeout that its holder has failed.
+func (r *Router) resendInterval(p *pendingRequest) time.Duration {
 	if p.class.Tier == topTier {
 		return r.options.HolderTimeout
 	}
@@ -189,76 +191,77 @@
 	return r.options.ResendInterval
 }
 
-// goWithout is for an ask whose holder is silent. Tier 1 goes at once to the
-// best upstream that the fallback knows; lower tiers go within the share that
-// this node lately had of the pool. Otherwise ok is false and the ask stays.
-func (r *Router) goWithout(ctx context.Context, p *pending, ask dispatcher.Ask) (slot dispatcher.Slot, ok bool, err error) {
-	if p.class.Tier != topTier && p.class.MaxWait > 0 && time.Since(p.began) >= p.class.MaxWait {
+// acquireFallback acquires a slot from the fallback for a slot request whose holder
+// doesn't answer: for tier 1 at once, for lower tiers while this node runs fewer
+// attempts on the pool than its recent peak. Otherwise ok is false and the request
+// stays pending.
+func (r *Router) acquireFallback(ctx context.Context, p *pendingRequest, ask dispatcher.Ask) (slot dispatcher.Slot, ok bool, err error) {
+	if p.class.Tier != topTier && p.class.MaxWait > 0 && time.Since(p.startedAt) >= p.class.MaxWait {
 		if !r.withdraw(p) {
 			return dispatcher.Slot{}, false, nil
 		}
 
-		return dispatcher.Slot{}, false, classifier.New(classifier.TargetUnreachable, "no holder of pool %q answered", p.pool).After(noHolderWait)
+		return dispatcher.Slot{}, false, classifier.New(classifier.TargetUnreachable, "no holder of pool %q answered", p.pool).After(noHolderRetryAfter)
 	}
 
-	f := r.leave(p)
-	if f == nil {
+	a := r.startFallback(p)
+	if a == nil {
 		return dispatcher.Slot{}, false, nil
 	}
 
-	r.cancelAt(p.peer, p)
+	r.cancelAt(p.holder, p)
 
-	inner, err := r.fallback.Acquire(ctx, ask)
+	fallbackSlot, err := r.fallback.Acquire(ctx, ask)
 
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
 	if err != nil {
-		delete(r.flights, f.item.GrantID)
+		delete(r.attempts, a.state.GrantID)
 
 		return dispatcher.Slot{}, false, err
 	}
 
-	f.inner = &inner
-	f.item.Upstream = inner.Upstream.Name
+	a.fallbackSlot = &fallbackSlot
+	a.state.Upstream = fallbackSlot.Upstream.Name
 
-	return dispatcher.Slot{ID: f.item.GrantID, Upstream: inner.Upstream, Priority: inner.Priority, Preempted: f.preempted}, true, nil
+	return dispatcher.Slot{ID: a.state.GrantID, Upstream: fallbackSlot.Upstream, Priority: fallbackSlot.Priority, Preempted: a.preempted}, true, nil
 }
 
-// slot turns a grant into what the dispatcher needs.
-func (r *Router) slot(p *pending, d decision) (dispatcher.Slot, error) {
-	upstream, known := r.settings.Snapshot().Services[p.item.Service].Upstreams[d.Upstream]
+// slotOf converts a grant to a slot for the dispatcher.
+func (r *Router) slotOf(p *pendingRequest, d decision) (dispatcher.Slot, error) {
+	upstream, known := r.settings.Snapshot().Services[p.request.Service].Upstreams[d.Upstream]
 
 	r.mu.Lock()
-	f := r.flights[d.GrantID]
+	a := r.attempts[d.GrantID]
 	r.mu.Unlock()
 
 	if !known {
-		r.giveBack(p, d.GrantID)
+		r.returnGrant(p, d.GrantID)
 
-		return dispatcher.Slot{}, classifier.New(classifier.NoUpstream, "upstream %q is not in this node's settings yet", d.Upstream).After(noHolderWait)
+		return dispatcher.Slot{}, classifier.New(classifier.NoUpstream, "upstream %q is not in this node's settings yet", d.Upstream).After(noHolderRetryAfter)
 	}
 
-	return dispatcher.Slot{ID: d.GrantID, Upstream: upstream, Priority: d.Priority, Preempted: f.preempted}, nil
+	return dispatcher.Slot{ID: d.GrantID, Upstream: upstream, Priority: d.Priority, Preempted: a.preempted}, nil
 }
 
 // Release implements dispatcher.Slotter.
 func (r *Router) Release(slot dispatcher.Slot, ask dispatcher.Ask, outcome dispatcher.Outcome) {
 	r.mu.Lock()
-	f := r.flights[slot.ID]
-	delete(r.flights, slot.ID)
+	a := r.attempts[slot.ID]
+	delete(r.attempts, slot.ID)
 	r.mu.Unlock()
 
-	if f == nil {
+	if a == nil {
 		return
 	}
 
-	if f.inner != nil {
-		r.fallback.Release(*f.inner, ask, outcome)
+	if a.fallbackSlot != nil {
+		r.fallback.Release(*a.fallbackSlot, ask, outcome)
 	}
 
-	item := releaseItem{
-		Pool:       f.pool,
+	release := slotRelease{
+		Pool:       a.pool,
 		GrantID:    slot.ID,
 		Result:     outcome.Result,
 		FirstToken: outcome.FirstToken,
@@ -267,7 +270,7 @@
 		Duration:   outcome.Duration,
 	}
 
-	for _, peer := range f.holders(r.holderOf(f.pool)) {
-		r.batcher.release(peer, item)
+	for _, holder := range a.holdersToNotify(r.holderOf(a.pool)) {
+		r.batcher.release(holder, release)
 	}
 }
--- a/internal/granter/rpc.go
+++ b/internal/granter/rpc.go
@@ -7,46 +7,46 @@
 	"github.com/cockroachdb/errors"
 )
 
-// HandleAsk answers MethodAsk.
+// HandleAsk handles MethodAsk.
 func (h *Holder) HandleAsk(_ context.Context, from string, params json.RawMessage) (any, error) {
-	var asked askParams
-	if err := json.Unmarshal(params, &asked); err != nil {
-		return nil, errors.Wrap(err, "decode asks")
+	var message entryParams
+	if err := json.Unmarshal(params, &message); err != nil {
+		return nil, errors.Wrap(err, "decode slot requests")
 	}
 
-	return h.take(from, asked), nil
+	return h.handleMessage(from, message), nil
 }
 
-// HandleRelease takes MethodRelease.
+// HandleRelease handles MethodRelease.
 func (h *Holder) HandleRelease(_ context.Context, from string, params json.RawMessage) (any, error) {
-	var released askParams
-	if err := json.Unmarshal(params, &released); err != nil {
-		return nil, errors.Wrap(err, "decode releases")
+	var message entryParams
+	if err := json.Unmarshal(params, &message); err != nil {
+		return nil, errors.Wrap(err, "decode slot releases")
 	}
 
-	return h.take(from, released), nil
+	return h.handleMessage(from, message), nil
 }
 
-// HandleDecided takes MethodDecided.
+// HandleDecided handles MethodDecided.
 func (r *Router) HandleDecided(_ context.Context, from string, params json.RawMessage) (any, error) {
-	var decided decidedParams
-	if err := json.Unmarshal(params, &decided); err != nil {
-		return nil, errors.Wrap(err, "decode decisions")
+	var message decidedParams
+	if err := json.Unmarshal(params, &message); err != nil {
+		return nil, errors.Wrap(err, "decode slot decisions")
 	}
 
-	for _, d := range decided.Decisions {
-		r.decided(from, d)
+	for _, d := range message.Decisions {
+		r.handleDecision(from, d)
 	}
 
 	return struct{}{}, nil
 }
 
-// HandleInFlight answers MethodInFlight.
+// HandleInFlight handles MethodInFlight.
 func (r *Router) HandleInFlight(_ context.Context, _ string, params json.RawMessage) (any, error) {
-	var asked inFlightParams
-	if err := json.Unmarshal(params, &asked); err != nil {
-		return nil, errors.Wrap(err, "decode pool")
+	var comparison inFlightParams
+	if err := json.Unmarshal(params, &comparison); err != nil {
+		return nil, errors.Wrap(err, "decode in-flight query")
 	}
 
-	return r.compare(asked.Pool, asked.digest), nil
+	return r.compareAttempts(comparison.Pool, comparison.digest), nil
 }
--- a/internal/granter/types.go
+++ b/internal/granter/types.go
@@ -1,25 +1,27 @@
-// Package granter carries the decisions of package scheduler between nodes: the
-// Holder runs the pools of this node, and the Router asks the holder of a pool
-// for slots on behalf of this node's requests.
+// Package granter is the protocol between nodes for the decisions of package
+// scheduler. The Holder runs the pools that this node holds. The Router requests
+// slots from the holder of a pool on behalf of this node's requests; for the holder,
+// the node that received a request is its entry.
 //
-// An ask is answered at once with granted, queued or refused, so that silence
-// shows within a fixed time whatever the queue. A queued ask is decided by a
-// later message. Messages may be lost, doubled or cross each other:
+// A slot request is answered at once with granted, queued or refused, so that an
+// unresponsive holder is noticed within a fixed time, however long the queue is. The
+// decision on a queued request follows in a later message. Messages may be lost,
+// duplicated or reordered:
 //
-//   - An ask has an id and may be sent again; the holder answers the same. A lost
-//     answer or decision is made good by the next ask with that id.
-//   - A grant that its entry doesn't want any more is cancelled by the ask's id,
-//     whether the ask still waits or was granted.
-//   - The holder compares its grants with what each entry has in flight; what
-//     the entry doesn't know twice running is free again, and what the holder
-//     doesn't know is taken over. It does so within ReconcileInterval when either
-//     end noticed that something may differ: a new holder, a silent one that
-//     answers again, an entry that grants of another holder serve, a decision
-//     that didn't arrive. What neither noticed ends by MaxReconcileInterval and
-//     ReconcileInterval together.
+//   - A slot request has an id and may be sent again; the holder gives the same
+//     answer. So the next copy of a request makes up for a lost answer or decision.
+//   - An entry cancels a grant that it no longer needs by the id of the slot request,
+//     whether the request still waits or was granted.
+//   - The holder compares its grants with the attempts that each entry has in flight.
+//     It frees a grant that the entry doesn't know in two comparisons in a row, and
+//     adopts an attempt that it doesn't know itself. It compares within
+//     ReconcileInterval if either side noticed a possible difference: a new holder,
+//     an unresponsive holder that answers again, an entry that also has grants of
+//     another holder, a decision that didn't arrive. A difference that neither side
+//     noticed lasts at most MaxReconcileInterval plus ReconcileInterval.
 //
-// Locks, in the order in which they may be taken: Holder.mu, heldPool.mu,
-// outbox.mu. Router.mu and batcher.mu are taken alone. None is held during a message.
+// Lock order: Holder.mu, heldPool.mu, outbox.mu. Router.mu and batcher.mu are never
+// held together with another lock. No lock is held while a message is sent.
 package granter
 
 import (
@@ -32,39 +34,39 @@
 	"quincepath.example/quincepath/internal/scheduler"
 )
 
-// MessagePolicy says how asks and releases travel to a holder.
+// MessagePolicy determines how slot requests and releases are sent to a holder.
 type MessagePolicy string
 
 const (
-	// MessagePerRequest sends each ask and each release at once in a message of its own.
+	// MessagePerRequest sends each slot request and each release at once in its own message.
 	MessagePerRequest MessagePolicy = "per_request"
-	// MessageBatched gathers asks and releases for MaxBatchDelay; tier 1 asks flush at once.
+	// MessageBatched collects slot requests and releases for up to MaxBatchDelay; a tier 1 request sends the batch at once.
 	MessageBatched MessagePolicy = "batched"
 )
 
-// Options of a Holder and a Router. The zero value of a field means its default.
+// Options configure a Holder and a Router. The zero value of a field means its default.
 type Options struct {
 	// Node is this node's name.
 	Node string
-	// Incarnation differs each time the node starts; it makes ask and grant ids unique.
+	// Incarnation differs each time the node starts; it makes the ids of slot requests and grants unique.
 	Incarnation string
-	// Pool is the policy of the pools that this node holds.
+	// Pool configures the pools that this node holds.
 	Pool scheduler.Options
-	// MessagePolicy of the messages. Default MessagePerRequest.
+	// MessagePolicy determines how messages are sent. Default MessagePerRequest.
 	MessagePolicy MessagePolicy
-	// MaxBatchDelay is the longest time for which MessageBatched gathers. Default 3 ms.
+	// MaxBatchDelay is the longest time for which MessageBatched delays a message. Default 3 ms.
 	MaxBatchDelay time.Duration
-	// HolderTimeout is how long a holder may take to acknowledge an ask. Default 150 ms.
+	// HolderTimeout is how long a holder may take to answer a slot request. Default 150 ms.
 	HolderTimeout time.Duration
-	// ResendInterval is the time after which a queued ask below tier 1 is sent again;
-	// tier 1 asks again after HolderTimeout. Default 5 s.
+	// ResendInterval is the time after which a queued slot request below tier 1 is sent
+	// again; for tier 1 it is HolderTimeout. Default 5 s.
 	ResendInterval time.Duration
-	// ReconcileInterval is the time between rounds of comparisons, and between those
-	// with an entry while they differ. Default 1 s.
+	// ReconcileInterval is the time between rounds of comparisons, and between the
+	// comparisons with one entry while its state differs. Default 1 s.
 	ReconcileInterval time.Duration
 	// MaxReconcileInterval is the longest time between comparisons with an entry. Default 10 s.
 	MaxReconcileInterval time.Duration
-	// Logger takes what requests wait for and which holders are silent; the zero logger writes nothing.
+	// Logger logs what requests wait for and which holders are unresponsive; the zero logger writes nothing.
 	Logger zerolog.Logger
 }
 
@@ -98,18 +100,18 @@
 
 // Caller sends messages to other nodes.
 type Caller interface {
-	// Call sends params and decodes the answer into result.
+	// Call sends a request with params and decodes the answer into result.
 	Call(ctx context.Context, peer, method string, params, result any) error
 	// Notify sends params without an answer.
 	Notify(ctx context.Context, peer, method string, params any) error
 }
 
-// Members tells which nodes are alive, this one included.
+// Members lists the live nodes, including this one.
 type Members interface {
 	Live() []string
 }
 
-// Snapshotter gives the settings that are in force.
+// Snapshotter returns the settings that are in force.
 type Snapshotter interface {
 	Snapshot() configurer.Snapshot
 }
--- a/internal/granter/wire.go
+++ b/internal/granter/wire.go
@@ -12,31 +12,31 @@
 
 // Methods of the messages between entries and holders.
 const (
-	// MethodAsk is a call from an entry to a holder; it may carry releases and cancels too.
+	// MethodAsk is a call from an entry to a holder; it may contain releases and cancellations too.
 	MethodAsk = "slot.ask"
 	// MethodRelease is a notification from an entry to a holder.
 	MethodRelease = "slot.release"
 	// MethodDecided is a notification from a holder to an entry: later grants, refusals and preemptions.
 	MethodDecided = "slot.decided"
-	// MethodInFlight is a call from a holder to an entry.
+	// MethodInFlight is a call from a holder to an entry, which returns its running attempts.
 	MethodInFlight = "slot.in_flight"
 )
 
-// askParams is the content of MethodAsk and MethodRelease.
-type askParams struct {
-	Asks     []askItem     `json:"asks,omitempty"`
-	Releases []releaseItem `json:"releases,omitempty"`
-	Cancels  []cancelItem  `json:"cancels,omitempty"`
-	// Elsewhere names pools for which the entry now asks another holder.
-	Elsewhere []string `json:"elsewhere,omitempty"`
+// entryParams contains the parameters of MethodAsk and MethodRelease.
+type entryParams struct {
+	Requests []slotRequest `json:"asks,omitempty"`
+	Releases []slotRelease `json:"releases,omitempty"`
+	Cancels  []slotCancel  `json:"cancels,omitempty"`
+	// MovedPools contains the pools for which the entry now sends its slot requests to another holder.
+	MovedPools []string `json:"elsewhere,omitempty"`
 }
 
-func (p *askParams) empty() bool {
-	return len(p.Asks) == 0 && len(p.Releases) == 0 && len(p.Cancels) == 0 && len(p.Elsewhere) == 0
+func (p *entryParams) empty() bool {
+	return len(p.Requests) == 0 && len(p.Releases) == 0 && len(p.Cancels) == 0 && len(p.MovedPools) == 0
 }
 
-// askItem asks for one slot.
-type askItem struct {
+// slotRequest requests one slot.
+type slotRequest struct {
 	ID           string        `json:"id"`
 	Service      string        `json:"service"`
 	Part         int           `json:"part,omitempty"`
@@ -48,31 +48,31 @@
 	Progress     int           `json:"progress,omitempty"`
 	Prefixes     []uint64      `json:"prefixes,omitempty"`
 	Spare        bool          `json:"spare,omitempty"`
-	// Compare says that the entry may have grants of this pool that the holder doesn't know, or the reverse.
-	Compare bool `json:"compare,omitempty"`
-	// NotRepeatable keeps the request from being preempted.
+	// CompareSoon is set if the entry may have grants of this pool that the holder doesn't know, or the reverse.
+	CompareSoon bool `json:"compare,omitempty"`
+	// NotRepeatable keeps the holder from preempting the request.
 	NotRepeatable bool `json:"not_repeatable,omitempty"`
 }
 
-func (a *askItem) request(entry string) scheduler.Request {
+func (s *slotRequest) schedulerRequest(entry string) scheduler.Request {
 	return scheduler.Request{
-		ID:           a.ID,
+		ID:           s.ID,
 		Entry:        entry,
-		Class:        a.Class,
-		Organisation: a.Organisation,
-		Exclude:      a.Exclude,
-		Waited:       a.Waited,
-		Queued:       a.Queued,
-		Progress:     a.Progress,
-		Prefixes:     a.Prefixes,
-		Spare:        a.Spare,
-
-		NotRepeatable: a.NotRepeatable,
+		Class:        s.Class,
+		Organisation: s.Organisation,
+		Exclude:      s.Exclude,
+		Waited:       s.Waited,
+		Queued:       s.Queued,
+		Progress:     s.Progress,
+		Prefixes:     s.Prefixes,
+		Spare:        s.Spare,
+
+		NotRepeatable: s.NotRepeatable,
 	}
 }
 
-// releaseItem ends one grant.
-type releaseItem struct {
+// slotRelease ends one grant.
+type slotRelease struct {
 	Pool       string            `json:"pool"`
 	GrantID    string            `json:"grant_id"`
 	Result     dispatcher.Result `json:"result"`
@@ -82,7 +82,7 @@
 	Duration   time.Duration     `json:"duration_ns"`
 }
 
-func (r *releaseItem) report() scheduler.Report {
+func (r *slotRelease) schedulerReport() scheduler.Report {
 	return scheduler.Report{
 		Result:     r.Result,
 		FirstToken: r.FirstToken,
@@ -92,29 +92,29 @@
 	}
 }
 
-// cancelItem takes one ask back, also when it was granted.
-type cancelItem struct {
+// slotCancel cancels one slot request, even if it was granted.
+type slotCancel struct {
 	Pool string `json:"pool"`
 	ID   string `json:"id"`
 }
 
-// askResult answers MethodAsk: one decision for each ask, in the same order.
-type askResult struct {
+// entryResult is the result of MethodAsk: one decision for each slot request, in the same order.
+type entryResult struct {
 	Answers []decision `json:"answers,omitempty"`
 }
 
-type state string
+type decisionState string
 
 const (
-	stateQueued  state = "queued"
-	stateGranted state = "granted"
-	stateRefused state = "refused"
-	statePreempt state = "preempt"
+	stateQueued  decisionState = "queued"
+	stateGranted decisionState = "granted"
+	stateRefused decisionState = "refused"
+	statePreempt decisionState = "preempt"
 )
 
-// decision is what a holder tells about one ask.
+// decision is a holder's decision on one slot request.
 type decision struct {
-	State      state           `json:"state"`
+	State      decisionState   `json:"state"`
 	ID         string          `json:"id"`
 	Pool       string          `json:"pool"`
 	GrantID    string          `json:"grant_id,omitempty"`
@@ -124,7 +124,7 @@
 	RetryAfter time.Duration   `json:"retry_after_ns,omitempty"`
 }
 
-var states = map[scheduler.DecisionKind]state{
+var decisionStates = map[scheduler.DecisionKind]decisionState{
 	scheduler.Grant:   stateGranted,
 	scheduler.Refuse:  stateRefused,
 	scheduler.Preempt: statePreempt,
@@ -132,7 +132,7 @@
 
 func newDecision(pool string, d scheduler.Decision) decision {
 	return decision{
-		State:      states[d.Kind],
+		State:      decisionStates[d.Kind],
 		ID:         d.RequestID,
 		Pool:       pool,
 		GrantID:    d.GrantID,
@@ -143,26 +143,27 @@
 	}
 }
 
-// decidedParams is the content of MethodDecided.
+// decidedParams contains the parameters of MethodDecided.
 type decidedParams struct {
 	Decisions []decision `json:"decisions"`
 }
 
-// inFlightParams is the content of MethodInFlight: what the holder knows of the entry.
+// inFlightParams contains the parameters of MethodInFlight: the grants of the entry that the holder knows, as a digest.
 type inFlightParams struct {
 	Pool string `json:"pool"`
 	digest
 }
 
-// inFlightResult answers MethodInFlight.
+// inFlightResult is the result of MethodInFlight.
 type inFlightResult struct {
-	// Same says that the entry runs what the holder's digest stands for; then there are no flights.
-	Same    bool         `json:"same,omitempty"`
-	Flights []flightItem `json:"flights,omitempty"`
+	// Same is set if the entry's attempts match the holder's digest; Attempts is empty then.
+	Same     bool           `json:"same,omitempty"`
+	Attempts []attemptState `json:"flights,omitempty"`
 }
 
-// digest stands for a set of grants, in any order. Sets that differ look equal
-// once in 2^64 at most, and the next grant or release tells them apart.
+// digest identifies a set of grants, independent of their order. The digests of two
+// different sets are equal with a probability of at most 2^-64, and differ again after
+// the next grant or release.
 type digest struct {
 	Count int    `json:"count,omitempty"`
 	Hash  uint64 `json:"hash,omitempty"`
@@ -173,14 +174,14 @@
 	d.Hash += xxhash.Sum64String(grantID)
 }
 
-// flightItem is one running attempt. Age stands in place of a time, since clocks of nodes differ.
-type flightItem struct {
+// attemptState describes one running attempt. It has an age instead of a start time because the clocks of nodes differ.
+type attemptState struct {
 	GrantID      string        `json:"grant_id"`
 	ID           string        `json:"id"`
 	Upstream     string        `json:"upstream"`
 	Class        string        `json:"class"`
 	Organisation string        `json:"organisation"`
 	Age          time.Duration `json:"age_ns"`
-	// NotRepeatable keeps the attempt from being preempted by the next holder too.
+	// NotRepeatable keeps the next holder from preempting the attempt.
 	NotRepeatable bool `json:"not_repeatable,omitempty"`
 }
