--- a/internal/gateway/relayer/watchdog.go
+++ b/internal/gateway/relayer/watchdog.go
@@ -8,8 +8,9 @@
 	"github.com/cockroachdb/errors"
 )
 
-// errAttemptTimeout is the cancellation cause of an attempt whose upstream sent nothing in time.
-var errAttemptTimeout = errors.New("upstream sent nothing within the attempt timeout")
+// errAttemptTimeout is the cancellation cause of an attempt whose upstream sent nothing in time. docs/OPERATIONS.md quotes
+// its text.
+var errAttemptTimeout = errors.New("the upstream went silent")
 
 // watchdog cancels an attempt's context when its upstream sends nothing for too long.
 //
