--- a/internal/fencer/fencer.go
+++ b/internal/fencer/fencer.go
@@ -1,9 +1,9 @@
-// Package fencer takes terms: spans of time in which one process acts alone, under a fencing number that only grows.
+// Package fencer acquires terms: periods in which one process acts exclusively, under a monotonically increasing fencing number.
 //
-// A term stands on a lease of the platform's store. Its holder counts the lease from before the call that began or renewed
-// it, by a clock that counts suspensions where one is given, and gives up a part of it at the end. A holder asks Valid right
-// before each act. The number lies under a key that is never deleted, so that no two terms share one, whatever becomes of
-// their holders.
+// A term is backed by a lease in the platform's store. The holder measures the lease from before the call that granted or
+// renewed it, preferably by a clock that includes suspensions, and stops acting a safety margin before its end. A holder
+// checks Valid right before each action. The number is stored under a key that is never deleted, so that no two terms have
+// the same number, whatever happens to their holders.
 package fencer
 
 import (
@@ -17,45 +17,46 @@
 	"quincepath.example/quincepath/internal/storer"
 )
 
-// ErrLeaseHeld means that another holder's lease lasts.
+// ErrLeaseHeld means that another holder has an unexpired lease.
 var ErrLeaseHeld = errors.New("another node holds the lease")
 
-// Store is the part of the platform's key-value service that terms need. Its errors are those of package storer.
+// Store is the part of the platform's key-value service that terms require. It returns the errors of package storer.
 type Store interface {
 	Get(ctx context.Context, key string) (storer.KeyValue, int64, error)
-	// Txn is called here with compares of modification revisions, of a creation with 0, and with puts only. A store that is
-	// used for terms alone needs to support no others.
+	// Txn is called only with puts and with compares of a modification revision, or of a creation revision with 0. A store
+	// that is used for terms alone need not support anything else.
 	Txn(ctx context.Context, t storer.Txn) (storer.TxnResult, error)
 	Grant(ctx context.Context, length time.Duration) (int64, error)
 	KeepAlive(ctx context.Context, lease int64) (time.Duration, error)
 	Revoke(ctx context.Context, lease int64) error
 }
 
-// Options are the parts of a Fencer. All but Now are required.
+// Options configures a Fencer. All fields but Now are required.
 type Options struct {
 	Store Store
-	// Prefix is that of the keys of the number and of the lease; it ends with a slash.
+	// Prefix is the prefix of the number key and the lease key; it ends with a slash.
 	Prefix string
-	// Node and Incarnation name this run of this node; no two runs share both.
+	// Node and Incarnation identify this run of this node; no two runs have both in common.
 	Node        string
 	Incarnation string
-	// CallTimeout bounds one call of the store.
+	// CallTimeout is the timeout of one call to the store.
 	CallTimeout time.Duration
-	// Now is a clock that nobody sets. If it counts suspensions, a term ends in time also for a holder that was suspended;
-	// if not, whoever acts after the holder has to wait out the longest suspension. Nil is the process's monotonic clock.
+	// Now returns the time of a monotonic clock. If the clock includes suspensions, a term ends in time also for a holder
+	// that was suspended; otherwise the next holder has to wait for the longest possible suspension. By default it is the
+	// process's monotonic clock.
 	Now func() time.Duration
 }
 
-// Fencer takes terms for one process. Its methods are not safe for concurrent use; its terms are.
+// Fencer acquires terms for one process. Its methods are not safe for concurrent use; its terms are.
 type Fencer struct {
 	options Options
-	// takes counts attempts to take a number.
-	takes int
-	// last names the last attempt that succeeded.
-	last string
+	// attempts counts the attempts to claim a number.
+	attempts int
+	// lastAttempt identifies the last attempt that succeeded.
+	lastAttempt string
 }
 
-// New returns a Fencer that has made no call.
+// New returns a Fencer. It makes no calls to the store.
 func New(options Options) *Fencer {
 	if options.Now == nil {
 		start := time.Now()
@@ -65,43 +66,44 @@
 	return &Fencer{options: options}
 }
 
-// record is the value of both keys.
-type record struct {
+// leaseRecord is the value of both the number key and the lease key.
+type leaseRecord struct {
 	Number int64 `json:"number"`
-	// Take names this one attempt to take a number.
-	Take    string `json:"take"`
+	// Attempt identifies the attempt that claimed the number.
+	Attempt string `json:"take"`
 	LeaseMS int64  `json:"lease_ms"`
 }
 
-// NumberKey is the key of the last number that was taken.
+// NumberKey returns the key of the last number that was claimed.
 func NumberKey(prefix string) string {
 	return prefix + "number"
 }
 
-// LeaseKey is the key that exists while a term lasts.
+// LeaseKey returns the key that exists while a lease is held.
 func LeaseKey(prefix string) string {
 	return prefix + "lease"
 }
 
-// Acquire begins a term of the given length under a number above floor. It returns ErrLeaseHeld while another holder's lease lasts.
+// Acquire starts a term with a lease of the given length and a number above floor. It returns ErrLeaseHeld while another
+// holder has an unexpired lease.
 func (f *Fencer) Acquire(ctx context.Context, length time.Duration, floor int64) (*Term, error) {
-	last, previous, err := f.lastNumber(ctx)
+	stored, previous, err := f.readNumber(ctx)
 	if err != nil {
 		return nil, err
 	}
 
-	sent := f.options.Now()
+	sentAt := f.options.Now()
 
 	lease, err := f.grant(ctx, length)
 	if err != nil {
 		return nil, err
 	}
 
-	f.takes++
+	f.attempts++
 
-	next := record{
+	next := leaseRecord{
 		Number:  max(previous.Number, floor) + 1,
-		Take:    fmt.Sprintf("%s.%s.%d", f.options.Node, f.options.Incarnation, f.takes),
+		Attempt: fmt.Sprintf("%s.%s.%d", f.options.Node, f.options.Incarnation, f.attempts),
 		LeaseMS: length.Milliseconds(),
 	}
 
@@ -113,25 +115,25 @@
 	t := &Term{
 		Number: next.Number, LeaseValue: value, fencer: f, lease: lease, length: length,
 		IsFirst:        previous.Number == 0,
-		IsContinuation: previous.Take != "" && previous.Take == f.last,
+		IsContinuation: previous.Attempt != "" && previous.Attempt == f.lastAttempt,
 		PreviousLease:  time.Duration(previous.LeaseMS) * time.Millisecond,
 	}
-	t.extend(sent)
+	t.extend(sentAt)
 
-	if err := f.write(ctx, last, next, t); err != nil {
+	if err := f.claimNumber(ctx, stored, next, t); err != nil {
 		t.Release(ctx)
 
 		return nil, err
 	}
 
-	f.last = next.Take
+	f.lastAttempt = next.Attempt
 
 	return t, nil
 }
 
-// lastNumber returns what the number key holds, or ErrLeaseHeld.
-func (f *Fencer) lastNumber(ctx context.Context) (storer.KeyValue, record, error) {
-	var previous record
+// readNumber returns the stored fencing number, or ErrLeaseHeld.
+func (f *Fencer) readNumber(ctx context.Context) (storer.KeyValue, leaseRecord, error) {
+	var previous leaseRecord
 
 	held, err := f.get(ctx, LeaseKey(f.options.Prefix))
 	if err != nil {
@@ -142,27 +144,27 @@
 		return held, previous, ErrLeaseHeld
 	}
 
-	last, err := f.get(ctx, NumberKey(f.options.Prefix))
-	if err != nil || last.Version == 0 {
-		return last, previous, err
+	stored, err := f.get(ctx, NumberKey(f.options.Prefix))
+	if err != nil || stored.Version == 0 {
+		return stored, previous, err
 	}
 
-	// A number that can't be read must not become 0: it would be used again.
-	err = json.Unmarshal(last.Value, &previous)
+	// An unreadable number must not be treated as 0, since numbers would be reused.
+	err = json.Unmarshal(stored.Value, &previous)
 
-	return last, previous, errors.Wrap(err, "decode the fencing number")
+	return stored, previous, errors.Wrap(err, "decode the fencing number")
 }
 
-// write takes the number if nobody took one since it was read and nobody holds the lease.
-func (f *Fencer) write(ctx context.Context, last storer.KeyValue, next record, t *Term) error {
+// claimNumber writes the number and the lease key if the number is unchanged since it was read and no lease is held.
+func (f *Fencer) claimNumber(ctx context.Context, stored storer.KeyValue, next leaseRecord, t *Term) error {
 	number, lease := NumberKey(f.options.Prefix), LeaseKey(f.options.Prefix)
 
-	call, cancel := context.WithTimeout(ctx, f.options.CallTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, f.options.CallTimeout)
 	defer cancel()
 
-	result, err := f.options.Store.Txn(call, storer.Txn{
+	result, err := f.options.Store.Txn(callCtx, storer.Txn{
 		Compares: []storer.Compare{
-			{Key: number, Target: storer.TargetMod, Number: last.ModRevision},
+			{Key: number, Target: storer.TargetMod, Number: stored.ModRevision},
 			{Key: lease, Target: storer.TargetCreate, Number: 0},
 		},
 		Success: []storer.Op{
@@ -173,7 +175,7 @@
 
 	switch {
 	case errors.Is(err, storer.ErrUnknown):
-		return f.readBack(ctx, next)
+		return f.confirmClaim(ctx, next)
 	case err != nil:
 		return err
 	case !result.Succeeded:
@@ -183,40 +185,40 @@
 	return nil
 }
 
-// readBack settles a take whose reply was lost. A take that is applied after this look counts
-// as lost: its number is then never used, and its lease is revoked or ends by itself.
-func (f *Fencer) readBack(ctx context.Context, next record) error {
+// confirmClaim reads whether a claim was applied whose reply was lost. A claim that is applied after this read counts as
+// failed: its number is never used, and its lease is revoked or expires.
+func (f *Fencer) confirmClaim(ctx context.Context, next leaseRecord) error {
 	held, err := f.get(ctx, LeaseKey(f.options.Prefix))
 	if err != nil {
 		return err
 	}
 
-	var found record
+	var found leaseRecord
 	if held.Version > 0 {
 		if err := json.Unmarshal(held.Value, &found); err != nil {
 			return errors.Wrap(err, "decode the lease")
 		}
 	}
 
-	if found.Take != next.Take {
-		return errors.New("the fencing number was not taken")
+	if found.Attempt != next.Attempt {
+		return errors.New("the fencing number was not claimed")
 	}
 
 	return nil
 }
 
 func (f *Fencer) get(ctx context.Context, key string) (storer.KeyValue, error) {
-	call, cancel := context.WithTimeout(ctx, f.options.CallTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, f.options.CallTimeout)
 	defer cancel()
 
-	found, _, err := f.options.Store.Get(call, key)
+	found, _, err := f.options.Store.Get(callCtx, key)
 
 	return found, err
 }
 
 func (f *Fencer) grant(ctx context.Context, length time.Duration) (int64, error) {
-	call, cancel := context.WithTimeout(ctx, f.options.CallTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, f.options.CallTimeout)
 	defer cancel()
 
-	return f.options.Store.Grant(call, length)
+	return f.options.Store.Grant(callCtx, length)
 }
--- a/internal/fencer/term.go
+++ b/internal/fencer/term.go
@@ -12,24 +12,24 @@
 )
 
 const (
-	// lastPart is the part of a lease, one in so many, in which its holder no longer acts. It
-	// covers clocks that run at different speeds and the way of an act to where it takes effect.
-	lastPart = 5
-	// RenewalsPerLease is how often a lease is renewed in its length.
+	// safetyMarginDivisor sets the safety margin at the end of a lease, in which its holder no longer acts, to one part in
+	// so many of the lease. The margin covers clock drift and the time until an action takes effect.
+	safetyMarginDivisor = 5
+	// RenewalsPerLease is the number of renewals during the length of a lease.
 	RenewalsPerLease = 3
 )
 
-// Term is the time in which a process acts under one fencing number. It is safe for concurrent use.
+// Term is a period in which a process acts under one fencing number. It is safe for concurrent use.
 type Term struct {
-	// Number is higher than that of any earlier term.
+	// Number is higher than the number of any earlier term.
 	Number int64
-	// LeaseValue is the value of the lease's key.
+	// LeaseValue is the value of the lease key.
 	LeaseValue []byte
-	// IsFirst says that nobody ever took a term before.
+	// IsFirst reports that there was no earlier term.
 	IsFirst bool
-	// IsContinuation says that this process also held the term before, and nobody held one between.
+	// IsContinuation reports that this process also held the directly preceding term.
 	IsContinuation bool
-	// PreviousLease is the length of the lease of the term before; 0 if there was none.
+	// PreviousLease is the lease length of the preceding term; 0 if there was none.
 	PreviousLease time.Duration
 
 	fencer *Fencer
@@ -37,21 +37,21 @@
 	length time.Duration
 
 	mu sync.Mutex
-	// until is when the term ends by the fencer's clock.
-	until time.Duration
-	ended bool
+	// expiresAt is when the term ends by the fencer's clock.
+	expiresAt time.Duration
+	ended     bool
 }
 
-// extend counts the lease from before the call that began or renewed it was sent: the store
-// began to count later, so that its end of the lease is never before this one.
-func (t *Term) extend(sent time.Duration) {
+// extend measures the lease from when the call that granted or renewed it was sent. The store starts its measurement later,
+// so the lease never expires there before the term ends here.
+func (t *Term) extend(sentAt time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 
-	t.until = sent + t.length - t.length/lastPart
+	t.expiresAt = sentAt + t.length - t.length/safetyMarginDivisor
 }
 
-// End makes the term end now.
+// End ends the term immediately.
 func (t *Term) End() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -59,16 +59,15 @@
 	t.ended = true
 }
 
-// Valid says whether an act may leave now.
+// Valid reports whether the holder may act now.
 //
-// A process that was paused wakes in the middle of its work and does not know it. Without a look
-// right before each act it would carry out what it had decided before the pause, under a lease that
-// another node may hold by now.
+// A process can't tell that it was paused. Without a check right before each action, it would carry out a decision made
+// before the pause, while another node may hold the lease.
 func (t *Term) Valid() bool {
 	return t.Remaining() > 0
 }
 
-// Remaining is the time for which the term is valid; 0 or less when it isn't.
+// Remaining returns how long the term is still valid; 0 or less if it isn't valid.
 func (t *Term) Remaining() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -77,25 +76,25 @@
 		return 0
 	}
 
-	return t.until - t.fencer.options.Now()
+	return t.expiresAt - t.fencer.options.Now()
 }
 
-// Renew keeps the lease until the context ends or the lease is gone. A lease that the store still had when a renewal
-// arrived has never ended, so the term is valid once more even if it wasn't meanwhile.
+// Renew renews the lease until ctx is done or the term has ended. A successful renewal proves that the lease never expired
+// in the store, so it makes the term valid again even if it was not valid in between.
 func (t *Term) Renew(ctx context.Context) {
 	for sleeper.Sleep(ctx, t.length/RenewalsPerLease) && !t.Ended() {
-		sent := t.fencer.options.Now()
+		sentAt := t.fencer.options.Now()
 
 		switch err := t.keepAlive(ctx); {
 		case err == nil:
-			t.extend(sent)
+			t.extend(sentAt)
 		case errors.Is(err, storer.ErrLeaseNotFound):
 			t.End()
 		}
 	}
 }
 
-// Ended says that the term is over for good: it was ended, or its lease is gone.
+// Ended reports whether the term has ended for good, because End was called or the lease is gone.
 func (t *Term) Ended() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -104,20 +103,20 @@
 }
 
 func (t *Term) keepAlive(ctx context.Context) error {
-	call, cancel := context.WithTimeout(ctx, min(t.fencer.options.CallTimeout, t.length/RenewalsPerLease))
+	callCtx, cancel := context.WithTimeout(ctx, min(t.fencer.options.CallTimeout, t.length/RenewalsPerLease))
 	defer cancel()
 
-	_, err := t.fencer.options.Store.KeepAlive(call, t.lease)
+	_, err := t.fencer.options.Store.KeepAlive(callCtx, t.lease)
 
 	return err
 }
 
-// Release ends the term and gives its lease back, also where ctx has ended. If that fails, the lease ends by itself.
+// Release ends the term and revokes its lease, even if ctx is done. If the revocation fails, the lease expires.
 func (t *Term) Release(ctx context.Context) {
 	t.End()
 
-	call, cancel := context.WithTimeout(context.WithoutCancel(ctx), t.fencer.options.CallTimeout)
+	callCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), t.fencer.options.CallTimeout)
 	defer cancel()
 
-	_ = t.fencer.options.Store.Revoke(call, t.lease)
+	_ = t.fencer.options.Store.Revoke(callCtx, t.lease)
 }
