--- a/internal/gateway/tallier/tallier.go
+++ b/internal/gateway/tallier/tallier.go
@@ -1,7 +1,7 @@
-// Package tallier counts, on each node, the requests that began to run, by organisation and window of true time.
+// Package tallier counts, on each node, the requests that started to run, by organisation and window of true time.
 //
-// Counts are handed out in batches that never change once they are closed. A batch is repeated to whoever asks until it is
-// known to be kept in the platform's store, so that it is added up once whoever asks and however often.
+// Counts are reported in immutable batches. Each batch is repeated in every result until it is known to be in the platform's
+// store, so that it is counted exactly once, whichever node collects it and however often.
 package tallier
 
 import (
@@ -16,18 +16,18 @@
 )
 
 const (
-	// MethodCollect asks a node for its batches.
+	// MethodCollect is the method that returns a node's batches.
 	MethodCollect = "usage.collect"
-	// mostWindows bounds the windows of a batch; the oldest are dropped.
-	mostWindows = 12
-	// mostBatches bounds the closed batches.
-	mostBatches = 120
+	// maxWindows is the maximum number of windows in a batch; the oldest are dropped.
+	maxWindows = 12
+	// maxBatches is the maximum number of batches that are kept until they are stored.
+	maxBatches = 120
 )
 
-// Counts are numbers of requests by window and organisation.
+// Counts holds numbers of requests by window and organisation.
 type Counts map[int64]map[string]int64
 
-// Add counts requests of an organisation in a window.
+// Add adds requests of an organisation to a window.
 func (c Counts) Add(window int64, organisation string, requests int64) {
 	if c[window] == nil {
 		c[window] = make(map[string]int64)
@@ -36,42 +36,42 @@
 	c[window][organisation] += requests
 }
 
-// Batch is what a node counted between two questions.
+// Batch holds what a node counted between two collections.
 type Batch struct {
-	// Sequence numbers the batches of one life of a node, from 1.
+	// Sequence numbers the batches of one incarnation of a node, from 1.
 	Sequence int64  `json:"sequence"`
 	Counts   Counts `json:"counts"`
 }
 
-// CollectParams is a question for a node's batches.
+// CollectParams are the parameters of MethodCollect.
 type CollectParams struct {
-	// Incarnation is the node's life as the asker knows it; empty if it knows none.
+	// Incarnation is the incarnation of the node that the collector knows; empty if it knows none.
 	Incarnation string `json:"life,omitempty"`
-	// StoredSequence is the sequence of that life's last batch that is kept in the store.
+	// StoredSequence is the sequence number of that incarnation's last batch in the store.
 	StoredSequence int64 `json:"kept,omitempty"`
-	// TimeMS is the true time in Unix milliseconds; 0 if the asker doesn't know it.
+	// TimeMS is the true time in Unix milliseconds; 0 if the collector doesn't know it.
 	TimeMS int64 `json:"time_ms,omitempty"`
 }
 
-// CollectResult is a node's answer.
+// CollectResult is the result of MethodCollect.
 type CollectResult struct {
-	// Incarnation names this run of the node's process.
+	// Incarnation identifies this run of the node's process.
 	Incarnation string `json:"life"`
 	// TimeMS is the node's time of day in Unix milliseconds.
 	TimeMS int64 `json:"time_ms"`
-	// Batches are those that the node doesn't know to be kept, in order.
+	// Batches are the batches that the node doesn't know to be stored, in order.
 	Batches []Batch `json:"batches,omitempty"`
 }
 
-// Options are the parts of a Tallier.
+// Options configures a Tallier.
 type Options struct {
-	// Incarnation names this run of the node's process; no two runs of any node share it.
+	// Incarnation identifies this run of the node's process; it is unique among all runs of all nodes.
 	Incarnation string
-	// Window is the length of a window; window k begins k times that after the start of 1970. With 0 nothing is counted.
+	// Window is the length of a window; window k starts k lengths after the Unix epoch. If it is 0, nothing is counted.
 	Window time.Duration
-	// Now is a clock that counts suspensions and that nobody sets.
+	// Now returns the time of a monotonic clock that includes suspensions.
 	Now func() time.Duration
-	// TimeOfDay is the node's own clock, which may be wrong.
+	// TimeOfDay returns the node's wall-clock time, which may be wrong.
 	TimeOfDay func() time.Time
 }
 
@@ -80,22 +80,23 @@
 	options Options
 
 	mu sync.Mutex
-	// offset is the true time since 1970 less the time by Now, as another node told it; valid if told is true.
-	offset time.Duration
-	told   bool
-	// open holds what was counted since the last batch.
-	open     Counts
-	batches  []Batch
-	sequence int64
+	// offset is the true time since the Unix epoch minus the time of Now, as a collector sent it; valid if hasOffset is true.
+	offset    time.Duration
+	hasOffset bool
+	// unbatched holds what was counted since the last batch.
+	unbatched Counts
+	batches   []Batch
+	sequence  int64
 }
 
-// New returns a tallier that has counted nothing.
+// New returns a Tallier without counts.
 func New(options Options) *Tallier {
-	return &Tallier{options: options, open: make(Counts)}
+	return &Tallier{options: options, unbatched: make(Counts)}
 }
 
-// Count counts a request of an organisation that began to run so long ago. Requests of no organisation aren't counted.
-func (t *Tallier) Count(organisation string, ago time.Duration) {
+// Count counts a request of an organisation that started to run the given time ago. Requests without an organisation aren't
+// counted.
+func (t *Tallier) Count(organisation string, age time.Duration) {
 	if organisation == "" || t.options.Window == 0 {
 		return
 	}
@@ -103,41 +104,42 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 
-	began := t.timeLocked() - ago
-	t.open.Add(int64(began/t.options.Window), organisation, 1)
+	startedAt := t.trueTimeLocked() - age
+	t.unbatched.Add(int64(startedAt/t.options.Window), organisation, 1)
 
-	if len(t.open) > mostWindows {
-		delete(t.open, slices.Min(slices.Collect(maps.Keys(t.open))))
+	if len(t.unbatched) > maxWindows {
+		delete(t.unbatched, slices.Min(slices.Collect(maps.Keys(t.unbatched))))
 	}
 }
 
-// timeLocked is the true time since 1970 as far as this node knows it; t.mu is held.
-func (t *Tallier) timeLocked() time.Duration {
-	if !t.told {
+// trueTimeLocked returns the best known true time since the Unix epoch; t.mu must be held.
+func (t *Tallier) trueTimeLocked() time.Duration {
+	if !t.hasOffset {
 		return time.Duration(t.options.TimeOfDay().UnixNano())
 	}
 
 	return t.options.Now() + t.offset
 }
 
-// Collect answers a question.
+// Collect returns the batches that are not known to be stored. It drops those that params names as stored, and takes over
+// the true time.
 func (t *Tallier) Collect(params CollectParams) CollectResult {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 
 	if params.TimeMS > 0 {
 		t.offset = time.Duration(params.TimeMS)*time.Millisecond - t.options.Now()
-		t.told = true
+		t.hasOffset = true
 	}
 
 	if params.Incarnation == t.options.Incarnation {
 		t.batches = slices.DeleteFunc(t.batches, func(b Batch) bool { return b.Sequence <= params.StoredSequence })
 	}
 
-	if len(t.open) > 0 && len(t.batches) < mostBatches {
+	if len(t.unbatched) > 0 && len(t.batches) < maxBatches {
 		t.sequence++
-		t.batches = append(t.batches, Batch{Sequence: t.sequence, Counts: t.open})
-		t.open = make(Counts)
+		t.batches = append(t.batches, Batch{Sequence: t.sequence, Counts: t.unbatched})
+		t.unbatched = make(Counts)
 	}
 
 	return CollectResult{
@@ -147,12 +149,12 @@
 	}
 }
 
-// HandleCollect answers a question of a peer.
+// HandleCollect handles MethodCollect for a peer.
 func (t *Tallier) HandleCollect(_ context.Context, _ string, params json.RawMessage) (any, error) {
-	var question CollectParams
-	if err := json.Unmarshal(params, &question); err != nil {
-		return nil, errors.Wrap(err, "decode the question for usage")
+	var request CollectParams
+	if err := json.Unmarshal(params, &request); err != nil {
+		return nil, errors.Wrap(err, "decode the parameters of usage.collect")
 	}
 
-	return t.Collect(question), nil
+	return t.Collect(request), nil
 }
--- a/internal/gateway/tallier/tallier_test.go
+++ b/internal/gateway/tallier/tallier_test.go
@@ -11,7 +11,7 @@
 
 const window = 5 * time.Second
 
-// clocks are a tallier's clock that nobody sets and its time of day, which may be wrong.
+// clocks holds a tallier's monotonic clock and the error of its wall clock.
 type clocks struct {
 	now  time.Duration
 	step time.Duration
@@ -27,8 +27,8 @@
 	})
 }
 
-// Guards against counts that are lost or added up twice where the account that has them is not written.
-func TestBatchesAreRepeatedUntilTheyAreKept(t *testing.T) {
+// Guards against counts that are lost or counted twice if the account that includes them is not written.
+func TestBatchesAreRepeatedUntilTheyAreStored(t *testing.T) {
 	tally := newTallier(&clocks{})
 	tally.Count("salon", 0)
 
@@ -43,13 +43,13 @@
 	third := tally.Collect(tallier.CollectParams{Incarnation: "l", StoredSequence: 1})
 	assert.DeepEqual(t, third.Batches, second.Batches[1:])
 
-	// Another life's batches say nothing of this one's.
+	// Stored batches of another incarnation don't remove batches of this one.
 	assert.DeepEqual(t, tally.Collect(tallier.CollectParams{Incarnation: "before", StoredSequence: 2}).Batches, second.Batches[1:])
 	assert.Equal(t, len(tally.Collect(tallier.CollectParams{Incarnation: "l", StoredSequence: 2}).Batches), 0)
 }
 
-// Guards against counts in the wrong window after the time of day was set.
-func TestWindowsAreOfTheTimeThatWasTold(t *testing.T) {
+// Guards against counts in the wrong window after the wall clock was set.
+func TestWindowsFollowTheCollectorsTime(t *testing.T) {
 	c := &clocks{}
 	tally := newTallier(c)
 	truth := c.timeOfDay()
@@ -70,8 +70,8 @@
 	assert.Equal(t, len(tally.Collect(tallier.CollectParams{}).Batches), 0)
 }
 
-// Guards against memory that grows for as long as nobody asks.
-func TestCountsThatNobodyAsksForAreBounded(t *testing.T) {
+// Guards against memory that grows while no node collects the counts.
+func TestUncollectedCountsAreBounded(t *testing.T) {
 	c := &clocks{}
 	tally := newTallier(c)
 
