--- a/internal/gateway/collector/account.go
+++ b/internal/gateway/collector/account.go
@@ -8,65 +8,65 @@
 	"quincepath.example/quincepath/internal/gateway/tallier"
 )
 
-// life is what the account knows of one run of a node's process.
-type life struct {
+// incarnation is what the account holds about one run of a node's process.
+type incarnation struct {
 	// Node is the name of the node.
 	Node string `json:"node"`
-	// Sequence is that of the last batch which was added.
+	// Sequence is the sequence number of the last batch that was added.
 	Sequence int64 `json:"sequence"`
 }
 
-// Report is the usage of one window as it is reported. Its counts never change.
+// Report is the usage of one window as reported to the platform. Its counts never change.
 type Report struct {
 	Window int64 `json:"window"`
-	// Counts are the requests that began to run, by organisation; nil once it is sent.
+	// Counts are the requests that started to run, by organisation; nil once the window is reported.
 	Counts map[string]int64 `json:"counts,omitempty"`
-	// Reported says that the platform accepted it.
+	// Reported is true once the platform has accepted the report.
 	Reported bool `json:"sent,omitempty"`
 }
 
-// account is what was collected and reported. It is kept in the store as a whole, and written only in the place of the
-// account that was read, so that each batch is added once and each window closed once.
+// account holds what was collected and reported. It is stored as a single value and replaced only by compare-and-swap, so
+// that each batch is added once and each window is closed once.
 type account struct {
-	// Next is the first window that isn't closed; 0 before any window is.
-	Next int64 `json:"next"`
-	// Open holds the counts of the windows from Next on.
-	Open tallier.Counts `json:"open"`
-	// Lives are the runs of nodes whose batches were added, by their names.
-	Lives map[string]life `json:"lives"`
-	// Reports are the last closed windows, oldest first.
+	// NextWindow is the first window that isn't closed; 0 if the account has not started yet.
+	NextWindow int64 `json:"next"`
+	// OpenWindows holds the counts of the windows from NextWindow on.
+	OpenWindows tallier.Counts `json:"open"`
+	// Incarnations are the runs of nodes whose batches were added, by their identifiers.
+	Incarnations map[string]incarnation `json:"lives"`
+	// Reports are the reports of the last closed windows, oldest first.
 	Reports []Report `json:"reports"`
-	// Missed counts the windows that were never accepted by the platform in time to be kept; Late the requests that came
-	// to be known after their window was closed.
-	Missed int64 `json:"missed"`
-	Late   int64 `json:"late"`
+	// MissedWindows counts the windows whose reports were dropped before the platform accepted them; LateRequests the
+	// requests that were collected after their window was closed.
+	MissedWindows int64 `json:"missed"`
+	LateRequests  int64 `json:"late"`
 }
 
 func newAccount() account {
-	return account{Open: make(tallier.Counts), Lives: make(map[string]life)}
+	return account{OpenWindows: make(tallier.Counts), Incarnations: make(map[string]incarnation)}
 }
 
-// clone returns a copy that shares nothing that changes.
+// clone returns a copy that shares no mutable state.
 func (a *account) clone() account {
 	copied := *a
-	copied.Open = make(tallier.Counts, len(a.Open))
+	copied.OpenWindows = make(tallier.Counts, len(a.OpenWindows))
 
-	for window, counts := range a.Open {
-		copied.Open[window] = maps.Clone(counts)
+	for window, counts := range a.OpenWindows {
+		copied.OpenWindows[window] = maps.Clone(counts)
 	}
 
-	copied.Lives = maps.Clone(a.Lives)
+	copied.Incarnations = maps.Clone(a.Incarnations)
 	copied.Reports = slices.Clone(a.Reports)
 
 	return copied
 }
 
-// add adds the batches of a node that weren't added before.
-func (a *account) add(node string, answer tallier.CollectResult) {
-	known := a.Lives[answer.Incarnation]
+// addBatches adds the batches of a node that weren't added before.
+func (a *account) addBatches(node string, result tallier.CollectResult) {
+	known := a.Incarnations[result.Incarnation]
 	known.Node = node
 
-	for _, batch := range answer.Batches {
+	for _, batch := range result.Batches {
 		if batch.Sequence <= known.Sequence {
 			continue
 		}
@@ -75,42 +75,42 @@
 
 		for window, counts := range batch.Counts {
 			for organisation, requests := range counts {
-				if window < a.Next {
-					a.Late += requests
+				if window < a.NextWindow {
+					a.LateRequests += requests
 
 					continue
 				}
 
-				a.Open.Add(window, organisation, requests)
+				a.OpenWindows.Add(window, organisation, requests)
 			}
 		}
 	}
 
-	a.Lives[answer.Incarnation] = known
+	a.Incarnations[result.Incarnation] = known
 }
 
-// close closes the next window.
-func (a *account) close() {
-	counts := a.Open[a.Next]
+// closeNextWindow closes the first open window and adds its report.
+func (a *account) closeNextWindow() {
+	counts := a.OpenWindows[a.NextWindow]
 	if counts == nil {
 		counts = make(map[string]int64)
 	}
 
-	a.Reports = append(a.Reports, Report{Window: a.Next, Counts: counts})
-	delete(a.Open, a.Next)
-	a.Next++
+	a.Reports = append(a.Reports, Report{Window: a.NextWindow, Counts: counts})
+	delete(a.OpenWindows, a.NextWindow)
+	a.NextWindow++
 
-	for len(a.Reports) > mostReports {
+	for len(a.Reports) > maxReports {
 		if !a.Reports[0].Reported {
-			a.Missed++
+			a.MissedWindows++
 		}
 
 		a.Reports = a.Reports[1:]
 	}
 }
 
-// markSent notes that the platform accepted a window's report.
-func (a *account) markSent(window int64) {
+// markReported records that the platform accepted a window's report.
+func (a *account) markReported(window int64) {
 	for i := range a.Reports {
 		if a.Reports[i].Window == window {
 			a.Reports[i].Reported, a.Reports[i].Counts = true, nil
@@ -118,29 +118,29 @@
 	}
 }
 
-// due returns the reports that the platform hasn't accepted, oldest first.
-func (a *account) due() []Report {
-	var due []Report
+// pendingReports returns the reports that the platform hasn't accepted, oldest first.
+func (a *account) pending() []Report {
+	var pending []Report
 
 	for _, report := range a.Reports {
 		if !report.Reported {
-			due = append(due, report)
+			pending = append(pending, report)
 		}
 	}
 
-	return due
+	return pending
 }
 
-// clock is a node's time of day as it was read.
-type clock struct {
-	// offset is the node's time of day since 1970 less the collector's time by its own clock that nobody sets.
+// clockReading is a reading of a node's wall clock.
+type clockReading struct {
+	// offset is the node's Unix time minus the time of the collector's monotonic clock.
 	offset time.Duration
-	// readAt is when, by the collector's clock.
+	// readAt is the time of the reading by the collector's monotonic clock.
 	readAt time.Duration
 }
 
-// median returns the middle one of the clocks' offsets.
-func median(clocks map[string]clock) time.Duration {
+// medianOffset returns the median of the clocks' offsets.
+func medianOffset(clocks map[string]clockReading) time.Duration {
 	offsets := make([]time.Duration, 0, len(clocks))
 	for _, c := range clocks {
 		offsets = append(offsets, c.offset)
--- a/internal/gateway/collector/collector.go
+++ b/internal/gateway/collector/collector.go
@@ -1,9 +1,9 @@
-// Package collector adds up what all nodes counted of the usage of organisations, closes windows, and says what is to be
-// reported to the platform.
+// Package collector adds up the usage of organisations that all nodes counted, closes windows, and determines which reports
+// are to be sent to the platform.
 //
-// One node collects at a time, but nothing here depends on it: the account is kept in the platform's store and replaced
-// only by whoever read its last state, so that a window is closed once and its report is the same whoever sends it. Nodes
-// repeat their counts until the account that holds them is written. True time is the middle of the nodes' times of day.
+// One node collects at a time, but correctness doesn't depend on it: the account is kept in the platform's store and replaced
+// by compare-and-swap, so that a window is closed once and its report is the same whichever node sends it. Nodes repeat
+// their counts until the account that includes them is stored. True time is the median of the nodes' wall clocks.
 package collector
 
 import (
@@ -19,197 +19,200 @@
 )
 
 const (
-	// accountKey is that of the account in the store.
+	// accountKey is the key of the account in the store.
 	accountKey = "usage"
-	// settleTime is how long after its end a window's last requests come to be known: plain ones when they are answered.
-	settleTime = 700 * time.Millisecond
-	// waitPart is the part of the time in which a report is due for which nodes that hold counts are waited for.
-	waitPart = 0.6
-	// clockAge is how long a node's time of day counts.
-	clockAge = 5 * time.Second
-	// mostReports bounds the closed windows that are kept.
-	mostReports = 12
-	// lifeTime is how long a run of a node that isn't heard of any more is kept.
-	lifeTime = time.Minute
+	// settlingTime is how long after its end a window's last requests are counted: unstreamed ones are counted when they
+	// are answered.
+	settlingTime = 700 * time.Millisecond
+	// maxWaitFraction is the fraction of the report deadline for which a window waits for nodes that may hold counts.
+	maxWaitFraction = 0.6
+	// maxClockAge is how long a reading of a node's wall clock is used.
+	maxClockAge = 5 * time.Second
+	// maxReports is the maximum number of closed windows that are kept.
+	maxReports = 12
+	// incarnationRetention is how long an incarnation is kept after its last result.
+	incarnationRetention = time.Minute
 )
 
-// ErrConflict means that another node has written the account since it was read.
-var ErrConflict = errors.New("the account of usage was written by another node")
+// ErrConflict means that another node wrote the account after it was read.
+var ErrConflict = errors.New("another node wrote the usage account")
 
-// Store keeps the account. Its errors are those of package storer.
+// Store holds the account. It returns the errors of package storer.
 type Store interface {
 	Get(ctx context.Context, key string) (storer.KeyValue, int64, error)
 	Txn(ctx context.Context, t storer.Txn) (storer.TxnResult, error)
 }
 
-// Options are the parts of a Collector; all are required.
+// Options configures a Collector; all fields are required.
 type Options struct {
 	Store Store
-	// Window is the length of a window, ReportDeadline how long after its end its report is due.
+	// Window is the length of a window. ReportDeadline is how long after the end of a window its report is due.
 	Window, ReportDeadline time.Duration
-	// Now is a clock that counts suspensions and that nobody sets.
+	// Now returns the time of a monotonic clock that includes suspensions.
 	Now func() time.Duration
 }
 
-// Collector collects for the node that holds the duty. It is safe for concurrent use.
+// Collector collects usage on the node that holds the duties. It is safe for concurrent use.
 type Collector struct {
 	options Options
 
 	mu sync.Mutex
-	// kept is the account as the store has it, at revision; present is that with what came since.
-	kept, present account
-	revision      int64
-	loaded        bool
-	changed       bool
-	clocks        map[string]clock
-	// offset is the true time since 1970 less Now; valid if timed is true.
-	offset time.Duration
-	timed  bool
-	// answers holds the last answer of each node.
-	answers map[string]answer
-	// heard is when a batch of each life last came.
-	heard map[string]time.Duration
+	// stored is the account in the store at revision; current also includes what was collected since.
+	stored, current account
+	revision        int64
+	loaded          bool
+	dirty           bool
+	clocks          map[string]clockReading
+	// offset is the true time since the Unix epoch minus the time of Now; valid if hasOffset is true.
+	offset    time.Duration
+	hasOffset bool
+	// lastResults holds the last result of each node.
+	lastResults map[string]nodeResult
+	// lastSeen is when each incarnation last returned a result.
+	lastSeen map[string]time.Duration
 }
 
-// answer is the last answer of a node.
-type answer struct {
-	life string
-	// at is when it was asked for, or when the node was read from the account if it never answered this collector.
-	at    time.Duration
-	never bool
+// nodeResult describes the last result of a node.
+type nodeResult struct {
+	incarnation string
+	// askedAt is when the result was requested. If unanswered is true, the node never answered this collector, and askedAt
+	// is when it was read from the account.
+	askedAt    time.Duration
+	unanswered bool
 }
 
-// New returns a collector that has read no account.
+// New returns a Collector. Load must be called to read the account.
 func New(options Options) *Collector {
 	return &Collector{
 		options: options,
-		clocks:  make(map[string]clock), answers: make(map[string]answer), heard: make(map[string]time.Duration),
+		clocks:  make(map[string]clockReading), lastResults: make(map[string]nodeResult), lastSeen: make(map[string]time.Duration),
 	}
 }
 
-// Load reads the account. What was collected and not written since is asked for again.
+// Load reads the account. Nodes repeat what was collected but not saved.
 func (c *Collector) Load(ctx context.Context) error {
 	found, _, err := c.options.Store.Get(ctx, accountKey)
 	if err != nil {
 		return err
 	}
 
-	read := newAccount()
+	decoded := newAccount()
 
 	if found.Version > 0 {
-		if err := json.Unmarshal(found.Value, &read); err != nil {
-			return errors.Wrap(err, "decode the account of usage")
+		if err := json.Unmarshal(found.Value, &decoded); err != nil {
+			return errors.Wrap(err, "decode the usage account")
 		}
 	}
 
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
-	c.kept, c.present, c.revision = read, read.clone(), found.ModRevision
-	c.loaded, c.changed = true, false
+	c.stored, c.current, c.revision = decoded, decoded.clone(), found.ModRevision
+	c.loaded, c.dirty = true, false
 
 	now := c.options.Now()
 
-	for name, run := range read.Lives {
-		if _, known := c.heard[name]; !known {
-			c.heard[name] = now
+	for name, entry := range decoded.Incarnations {
+		if _, known := c.lastSeen[name]; !known {
+			c.lastSeen[name] = now
 		}
 
-		if _, known := c.answers[run.Node]; !known {
-			c.answers[run.Node] = answer{life: name, at: now, never: true}
+		if _, known := c.lastResults[entry.Node]; !known {
+			c.lastResults[entry.Node] = nodeResult{incarnation: name, askedAt: now, unanswered: true}
 		}
 	}
 
 	return nil
 }
 
-// CollectParams returns what a node is to be asked.
+// CollectParams returns the parameters of the next collection from a node.
 func (c *Collector) CollectParams(node string) tallier.CollectParams {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
-	life := c.answers[node].life
-	params := tallier.CollectParams{Incarnation: life, StoredSequence: c.kept.Lives[life].Sequence}
+	incarnation := c.lastResults[node].incarnation
+	params := tallier.CollectParams{Incarnation: incarnation, StoredSequence: c.stored.Incarnations[incarnation].Sequence}
 
-	if c.timed {
+	if c.hasOffset {
 		params.TimeMS = (c.options.Now() + c.offset).Milliseconds()
 	}
 
 	return params
 }
 
-// AddResult takes in a node's answer to a question that was asked at the given time.
-func (c *Collector) AddResult(node string, asked time.Duration, told tallier.CollectResult) {
+// AddResult adds a node's result. askedAt is when it was requested.
+func (c *Collector) AddResult(node string, askedAt time.Duration, result tallier.CollectResult) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
 	now := c.options.Now()
-	c.clocks[node] = clock{offset: time.Duration(told.TimeMS)*time.Millisecond - (asked+now)/2, readAt: now}
-	c.answers[node] = answer{life: told.Incarnation, at: asked}
-	c.heard[told.Incarnation] = now
+	c.clocks[node] = clockReading{offset: time.Duration(result.TimeMS)*time.Millisecond - (askedAt+now)/2, readAt: now}
+	c.lastResults[node] = nodeResult{incarnation: result.Incarnation, askedAt: askedAt}
+	c.lastSeen[result.Incarnation] = now
 
 	if !c.loaded {
 		return
 	}
 
-	before := c.present.Lives[told.Incarnation].Sequence
-	c.present.add(node, told)
-	c.changed = c.changed || c.present.Lives[told.Incarnation].Sequence != before
+	before := c.current.Incarnations[result.Incarnation].Sequence
+	c.current.addBatches(node, result)
+	c.dirty = c.dirty || c.current.Incarnations[result.Incarnation].Sequence != before
 }
 
-// UpdateTime finds the true time where more than half of so many nodes have told theirs.
+// UpdateTime updates the true time if recent clock readings of more than half of the given number of nodes are known.
 func (c *Collector) UpdateTime(nodes int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
 	now := c.options.Now()
 
-	for node, read := range c.clocks {
-		if now-read.readAt > clockAge {
+	for node, reading := range c.clocks {
+		if now-reading.readAt > maxClockAge {
 			delete(c.clocks, node)
 		}
 	}
 
 	if 2*len(c.clocks) > nodes {
-		c.offset, c.timed = median(c.clocks), true
+		c.offset, c.hasOffset = medianOffset(c.clocks), true
 	}
 }
 
-// CloseWindows closes the windows of which all is known, or for which no more can be waited.
+// CloseWindows closes the windows for which all counts are known or the maximum wait is over.
 func (c *Collector) CloseWindows() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
-	if !c.timed || !c.loaded {
+	if !c.hasOffset || !c.loaded {
 		return
 	}
 
 	now := c.options.Now()
-	truth := now + c.offset
+	trueTime := now + c.offset
 
-	if c.present.Next == 0 {
-		// The first account of the deployment begins with the window that was open.
-		c.present.Next = int64(truth / c.options.Window)
-		c.changed = true
+	if c.current.NextWindow == 0 {
+		// The first account of a deployment starts with the present window.
+		c.current.NextWindow = int64(trueTime / c.options.Window)
+		c.dirty = true
 	}
 
 	for {
-		end := time.Duration(c.present.Next+1) * c.options.Window
-		settled := end + settleTime
+		end := time.Duration(c.current.NextWindow+1) * c.options.Window
+		settled := end + settlingTime
 
-		if truth < settled || c.awaitsLocked(now, settled-c.offset) && truth < end+time.Duration(waitPart*float64(c.options.ReportDeadline)) {
+		if trueTime < settled || c.isWaitingLocked(now, settled-c.offset) && trueTime < end+time.Duration(maxWaitFraction*float64(c.options.ReportDeadline)) {
 			break
 		}
 
-		c.present.close()
-		c.changed = true
+		c.current.closeNextWindow()
+		c.dirty = true
 	}
 }
 
-// awaitsLocked says whether a node that may hold counts has not answered a question asked since; c.mu is held.
-func (c *Collector) awaitsLocked(now, since time.Duration) bool {
-	for _, last := range c.answers {
-		if (last.never || last.at < since) && now-last.at < 2*c.options.Window {
+// isWaitingLocked reports whether a node that may hold counts has not answered a request made at since or later; c.mu must be
+// held.
+func (c *Collector) isWaitingLocked(now, since time.Duration) bool {
+	for _, last := range c.lastResults {
+		if (last.unanswered || last.askedAt < since) && now-last.askedAt < 2*c.options.Window {
 			return true
 		}
 	}
@@ -217,27 +220,28 @@
 	return false
 }
 
-// UntilSettled is how long from now the next window's last counts can be asked for; false before the true time is known.
+// UntilSettled returns the time until the last counts of the first open window can be collected, and false if the true time
+// is not known.
 func (c *Collector) UntilSettled() (time.Duration, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
-	if !c.timed || c.present.Next == 0 {
+	if !c.hasOffset || c.current.NextWindow == 0 {
 		return 0, false
 	}
 
-	return time.Duration(c.present.Next+1)*c.options.Window + settleTime - c.offset - c.options.Now(), true
+	return time.Duration(c.current.NextWindow+1)*c.options.Window + settlingTime - c.offset - c.options.Now(), true
 }
 
-// Save writes the account if it has changed. After an error Load must be called: the write may have been done or not.
+// Save writes the account if it has changed. After an error Load must be called, since the write may have been applied.
 func (c *Collector) Save(ctx context.Context) error {
 	c.mu.Lock()
-	c.forgetLocked()
-	saved, revision, changed := c.present.clone(), c.revision, c.changed && c.loaded
-	c.changed = false
+	c.pruneLocked()
+	saved, revision, dirty := c.current.clone(), c.revision, c.dirty && c.loaded
+	c.dirty = false
 	c.mu.Unlock()
 
-	if !changed {
+	if !dirty {
 		return nil
 	}
 
@@ -254,7 +258,7 @@
 func (c *Collector) write(ctx context.Context, saved account, revision int64) error {
 	value, err := json.Marshal(saved)
 	if err != nil {
-		return errors.Wrap(err, "encode the account of usage")
+		return errors.Wrap(err, "encode the usage account")
 	}
 
 	result, err := c.options.Store.Txn(ctx, storer.Txn{
@@ -272,31 +276,31 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
-	c.kept, c.revision = saved, result.Revision
+	c.stored, c.revision = saved, result.Revision
 
 	return nil
 }
 
-// forgetLocked drops runs of nodes that are gone; c.mu is held. A node whose batches come after that is taken for a new one,
-// so the time is longer than any window is kept.
-func (c *Collector) forgetLocked() {
+// pruneLocked drops the incarnations of nodes that are gone; c.mu must be held. Batches that arrive from a dropped
+// incarnation are counted as new, so incarnationRetention must be longer than any window stays open.
+func (c *Collector) pruneLocked() {
 	now := c.options.Now()
 
-	for name, at := range c.heard {
-		if now-at > lifeTime {
-			delete(c.heard, name)
-			delete(c.present.Lives, name)
+	for name, at := range c.lastSeen {
+		if now-at > incarnationRetention {
+			delete(c.lastSeen, name)
+			delete(c.current.Incarnations, name)
 		}
 	}
 
-	for node, last := range c.answers {
-		if now-last.at > lifeTime {
-			delete(c.answers, node)
+	for node, last := range c.lastResults {
+		if now-last.askedAt > incarnationRetention {
+			delete(c.lastResults, node)
 		}
 	}
 }
 
-// Loaded says whether the account is known.
+// Loaded reports whether the account has been read.
 func (c *Collector) Loaded() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -304,7 +308,7 @@
 	return c.loaded
 }
 
-// PendingReports returns the reports that are written down and not known to be accepted, oldest first.
+// PendingReports returns the stored reports that are not known to be accepted by the platform, oldest first.
 func (c *Collector) PendingReports() []Report {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -313,38 +317,39 @@
 		return nil
 	}
 
-	return c.kept.due()
+	return c.stored.pending()
 }
 
-// MarkReported notes that the platform accepted a window's report.
+// MarkReported records that the platform accepted a window's report.
 func (c *Collector) MarkReported(window int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
-	c.kept.markSent(window)
-	c.present.markSent(window)
-	c.changed = true
+	c.stored.markReported(window)
+	c.current.markReported(window)
+	c.dirty = true
 }
 
-// Status is what an operator is told of the usage reports.
+// Status describes the usage reports to operators.
 type Status struct {
-	// LastReported is the last window that the platform accepted; 0 if none is known.
+	// LastReported is the last window whose report the platform accepted; 0 if none is known.
 	LastReported int64 `json:"last_reported"`
-	// PendingReports is the number of closed windows that it hasn't accepted.
+	// PendingReports is the number of closed windows whose report the platform hasn't accepted.
 	PendingReports int `json:"due"`
-	// MissedWindows counts windows given up, LateRequests the requests that came to be known after their window was closed.
+	// MissedWindows counts the windows whose reports were dropped before the platform accepted them. LateRequests counts
+	// the requests that were collected after their window was closed.
 	MissedWindows int64 `json:"missed"`
 	LateRequests  int64 `json:"late"`
 }
 
-// Status returns the present state.
+// Status returns the current status.
 func (c *Collector) Status() Status {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
-	status := Status{PendingReports: len(c.kept.due()), MissedWindows: c.kept.Missed, LateRequests: c.kept.Late}
+	status := Status{PendingReports: len(c.stored.pending()), MissedWindows: c.stored.MissedWindows, LateRequests: c.stored.LateRequests}
 
-	for _, report := range c.kept.Reports {
+	for _, report := range c.stored.Reports {
 		if report.Reported {
 			status.LastReported = report.Window
 		}
--- a/internal/gateway/collector/collector_test.go
+++ b/internal/gateway/collector/collector_test.go
@@ -14,11 +14,11 @@
 const (
 	window = 5 * time.Second
 	due    = 10 * time.Second
-	// first is a window that begins at the clock's zero.
+	// first is the window that starts when the clock is zero.
 	first = 200_000
 )
 
-// fleet is a store, nodes and their common clock.
+// fleet is a store, and nodes with a common clock.
 type fleet struct {
 	store    *keeper.Store
 	now      time.Duration
@@ -51,7 +51,7 @@
 	return c
 }
 
-// round asks the named nodes and closes and saves what it can.
+// round collects from the named nodes, closes windows and saves the account.
 func (f *fleet) round(t *testing.T, c *collector.Collector, names ...string) error {
 	t.Helper()
 
@@ -65,7 +65,8 @@
 	return c.Save(t.Context())
 }
 
-// Guards against a report without the counts of a node that is cut off for a moment, and against one that waits for it too long.
+// Guards against a report that misses the counts of a node which is briefly unreachable, and against one that waits too long for
+// such a node.
 func TestWindowWaitsForNodesThatHoldCounts(t *testing.T) {
 	f := newFleet("a", "b", "c")
 	c := f.collector(t)
@@ -86,8 +87,8 @@
 	assert.DeepEqual(t, c.PendingReports(), []collector.Report{{Window: first + 1, Counts: map[string]int64{}}})
 }
 
-// Guards against a window that two nodes close with different counts.
-func TestSecondWriterTakesWhatTheFirstHasWritten(t *testing.T) {
+// Guards against two nodes that close a window with different counts.
+func TestSecondWriterLoadsTheStoredAccount(t *testing.T) {
 	f := newFleet("a", "b")
 	one, other := f.collector(t), f.collector(t)
 	assert.NilError(t, f.round(t, one, "a", "b"))
@@ -104,8 +105,8 @@
 	assert.DeepEqual(t, one.PendingReports(), []collector.Report{{Window: first, Counts: map[string]int64{"salon": 2}}})
 }
 
-// Guards against true time by one clock, or by fewer clocks than half.
-func TestTimeIsThatOfMostNodes(t *testing.T) {
+// Guards against true time that is based on half of the clocks or fewer.
+func TestTrueTimeNeedsMostNodes(t *testing.T) {
 	f := newFleet("a", "b", "c", "d")
 	c := f.collector(t)
 	assert.NilError(t, f.round(t, c, "a", "b"))
