--- a/internal/gateway/scaler/scaler.go
+++ b/internal/gateway/scaler/scaler.go
@@ -1,6 +1,7 @@
 // Package scaler decides how many upstreams of each kind are ordered for a service in each failure domain.
 //
-// It is plain code over what is configured and what stands. Orders are absolute numbers, so that repeating one does no harm.
+// Plans depend only on the configuration, the current pool sizes and the sizes seen before. Orders are absolute numbers, so
+// that repeating one is harmless.
 package scaler
 
 import (
@@ -21,102 +22,103 @@
 type Order struct {
 	Pool
 	Spot bool `json:"spot"`
-	// Count is the number of upstreams of this kind that are to stand.
+	// Count is the desired number of upstreams of this kind.
 	Count int `json:"count"`
 }
 
-// PoolSize are the upstreams of a pool that serve and don't leave.
+// PoolSize holds the current numbers of upstreams in a pool. Regular and Spot don't include draining ones.
 type PoolSize struct {
 	Regular int `json:"regular"`
 	Spot    int `json:"spot"`
-	// Draining counts those that serve and leave, of both kinds.
+	// Draining is the number of draining upstreams of both kinds.
 	Draining int `json:"leaving"`
 }
 
-// CountUpstreams returns what stands of the services that can be scaled.
+// CountUpstreams returns the pool sizes of the services that can be scaled.
 func CountUpstreams(services []cataloguer.Service, upstreams []cataloguer.Upstream) map[Pool]PoolSize {
-	scaled := make(map[string]bool)
-	for _, s := range services {
-		scaled[s.Name] = s.Scaling != nil
+	isScaled := make(map[string]bool)
+	for _, size := range services {
+		isScaled[size.Name] = size.Scaling != nil
 	}
 
-	standing := make(map[Pool]PoolSize)
+	sizes := make(map[Pool]PoolSize)
 
 	for _, u := range upstreams {
-		if !scaled[u.Service] {
+		if !isScaled[u.Service] {
 			continue
 		}
 
 		pool := Pool{Service: u.Service, FailureDomain: u.FailureDomain}
-		s := standing[pool]
+		size := sizes[pool]
 
 		switch {
 		case u.Draining:
-			s.Draining++
+			size.Draining++
 		case u.Spot:
-			s.Spot++
+			size.Spot++
 		default:
-			s.Regular++
+			size.Regular++
 		}
 
-		standing[pool] = s
+		sizes[pool] = size
 	}
 
-	return standing
+	return sizes
 }
 
-// Policy says what a planner keeps.
+// Policy sets the bounds that a planner keeps.
 type Policy struct {
-	// MinRegular is the number of regular upstreams to keep in each pool beside spot ones.
+	// MinRegular is the number of regular upstreams to keep in each pool in addition to spot ones.
 	MinRegular int
-	// MaxFraction is the part of a pool's maximum that is ordered, 0 to 1, but not less than the regular upstreams that stood there.
+	// MaxFraction is the fraction of a pool's maximum that is ordered at most, from 0 to 1. It never reduces a pool below the
+	// number of regular upstreams that it had before they were replaced.
 	MaxFraction float64
-	// MinFraction is the part of a service's maximum over all failure domains that is to stand, 0 to 1. Where spot upstreams
-	// are taken away, regular ones are ordered up to it.
+	// MinFraction is the fraction of a service's maximum over all failure domains that must be running, from 0 to 1. If spot
+	// upstreams are reclaimed, regular ones are ordered up to it.
 	MinFraction float64
 }
 
-// Planner plans the orders of one holder of the duty. It is not safe for concurrent use.
+// Planner plans the orders of one holder of the duties. It is not safe for concurrent use.
 type Planner struct {
-	// policy is that of the present plan.
+	// policy is the policy of the current plan.
 	policy Policy
-	// regular is the greatest number of regular upstreams that stood in each pool before they were replaced.
-	regular map[Pool]int
-	// moved are the pools whose regular upstreams have been replaced by spot ones.
-	moved map[Pool]bool
+	// peakRegular is the highest number of regular upstreams in each pool before they were replaced.
+	peakRegular map[Pool]int
+	// replaced holds the pools whose regular upstreams have been replaced by spot ones.
+	replaced map[Pool]bool
 }
 
-// New returns a planner that has seen nothing.
+// New returns a Planner that has not seen any pools.
 func New() *Planner {
-	return &Planner{regular: make(map[Pool]int), moved: make(map[Pool]bool)}
+	return &Planner{peakRegular: make(map[Pool]int), replaced: make(map[Pool]bool)}
 }
 
-// Plan returns the orders that should hold now, in the order of their pools.
-func (p *Planner) Plan(policy Policy, services []cataloguer.Service, standing map[Pool]PoolSize) []Order {
+// Plan returns the orders that should be in effect, grouped by pool.
+func (p *Planner) Plan(policy Policy, services []cataloguer.Service, sizes map[Pool]PoolSize) []Order {
 	var orders []Order
 
 	p.policy = policy
 
-	for pool, s := range standing {
-		if !p.moved[pool] {
-			p.regular[pool] = max(p.regular[pool], s.Regular)
+	for pool, size := range sizes {
+		if !p.replaced[pool] {
+			p.peakRegular[pool] = max(p.peakRegular[pool], size.Regular)
 		}
 	}
 
 	for _, service := range services {
 		if service.Scaling != nil && service.Scaling.SpotPrice != nil {
-			orders = append(orders, p.planService(service, standing)...)
+			orders = append(orders, p.planService(service, sizes)...)
 		}
 	}
 
 	return orders
 }
 
-// poolsOf returns the pools of a service where upstreams stand or stood, the cheapest first.
-func (p *Planner) poolsOf(service cataloguer.Service) []Pool {
+// poolsByPrice returns the pools of a service that have or had upstreams, the cheapest first.
+func (p *Planner) poolsByPrice(service cataloguer.Service) []Pool {
 	var pools []Pool
 
-	for pool := range p.regular {
+	for pool := range p.peakRegular {
 		if pool.Service == service.Name {
 			pools = append(pools, pool)
 		}
@@ -130,61 +132,62 @@
 	return pools
 }
 
-func (p *Planner) planService(service cataloguer.Service, standing map[Pool]PoolSize) []Order {
+func (p *Planner) planService(service cataloguer.Service, sizes map[Pool]PoolSize) []Order {
 	var orders []Order
 
-	limits := *service.Scaling
-	pools := p.poolsOf(service)
-	missing := p.missing(pools, limits, standing)
+	scaling := *service.Scaling
+	pools := p.poolsByPrice(service)
+	missing := p.missingRegular(pools, scaling, sizes)
 
 	for _, pool := range pools {
-		s := standing[pool]
+		size := sizes[pool]
 
-		// While the pool is replaced, a regular upstream goes for each spot one that stands.
-		regular := max(p.base(limits), p.regular[pool]-s.Spot)
+		// During the replacement, each running spot upstream replaces one regular upstream.
+		regular := max(p.clampedMinRegular(scaling), p.peakRegular[pool]-size.Spot)
 
-		if p.hasMoved(pool, limits, s) {
-			extra := min(missing, max(limits.Maximum-p.base(limits)-s.Spot, 0))
+		if p.checkReplaced(pool, scaling, size) {
+			extra := min(missing, max(scaling.Maximum-p.clampedMinRegular(scaling)-size.Spot, 0))
 			missing -= extra
-			regular = p.base(limits) + extra
+			regular = p.clampedMinRegular(scaling) + extra
 		}
 
-		if p.moved[pool] || regular < p.regular[pool] {
+		if p.replaced[pool] || regular < p.peakRegular[pool] {
 			orders = append(orders, Order{Pool: pool, Count: regular})
 		}
 
-		most := max(int(math.Ceil(p.policy.MaxFraction*float64(limits.Maximum))), p.regular[pool])
-		room := limits.Maximum - max(regular, s.Regular)
-		orders = append(orders, Order{Pool: pool, Spot: true, Count: max(min(room, most-p.base(limits)), 0)})
+		maxOrdered := max(int(math.Ceil(p.policy.MaxFraction*float64(scaling.Maximum))), p.peakRegular[pool])
+		free := scaling.Maximum - max(regular, size.Regular)
+		orders = append(orders, Order{Pool: pool, Spot: true, Count: max(min(free, maxOrdered-p.clampedMinRegular(scaling)), 0)})
 	}
 
 	return orders
 }
 
-// base is the number of regular upstreams that a pool keeps in any case.
-func (p *Planner) base(limits cataloguer.Scaling) int {
-	return max(min(p.policy.MinRegular, limits.Maximum), limits.Minimum)
+// minRegular returns the number of regular upstreams that a pool always keeps.
+func (p *Planner) clampedMinRegular(scaling cataloguer.Scaling) int {
+	return max(min(p.policy.MinRegular, scaling.Maximum), scaling.Minimum)
 }
 
-// hasMoved says whether spot upstreams stand in the place of a pool's regular ones.
-func (p *Planner) hasMoved(pool Pool, limits cataloguer.Scaling, s PoolSize) bool {
-	p.moved[pool] = p.moved[pool] || s.Spot >= p.regular[pool]-p.base(limits)
+// checkReplaced reports whether spot upstreams have replaced a pool's regular ones, and records it if so.
+func (p *Planner) checkReplaced(pool Pool, scaling cataloguer.Scaling, size PoolSize) bool {
+	p.replaced[pool] = p.replaced[pool] || size.Spot >= p.peakRegular[pool]-p.clampedMinRegular(scaling)
 
-	return p.moved[pool]
+	return p.replaced[pool]
 }
 
-// missing is how many regular upstreams beyond the base ones are needed so that enough stand.
-func (p *Planner) missing(pools []Pool, limits cataloguer.Scaling, standing map[Pool]PoolSize) int {
-	stands := 0
+// missingRegular returns how many regular upstreams are needed beyond those that pools always keep, so that the minimum
+// fraction is running.
+func (p *Planner) missingRegular(pools []Pool, scaling cataloguer.Scaling, sizes map[Pool]PoolSize) int {
+	running := 0
 
 	for _, pool := range pools {
-		if !p.moved[pool] {
-			// Its regular upstreams stay for now.
+		if !p.replaced[pool] {
+			// The pool still keeps its regular upstreams.
 			return 0
 		}
 
-		stands += p.base(limits) + standing[pool].Spot
+		running += p.clampedMinRegular(scaling) + sizes[pool].Spot
 	}
 
-	return max(int(math.Ceil(p.policy.MinFraction*float64(limits.Maximum*len(pools))))-stands, 0)
+	return max(int(math.Ceil(p.policy.MinFraction*float64(scaling.Maximum*len(pools))))-running, 0)
 }
