--- a/internal/gateway/acceptor/acceptor.go
+++ b/internal/gateway/acceptor/acceptor.go
@@ -1,8 +1,8 @@
-// Package acceptor takes the connections of callers and bounds their number, the
-// time for the header of a request, and the time for which they may rest.
+// Package acceptor accepts the connections of callers and limits their number, the time to read a request header, and the
+// time that they may be idle.
 //
-// The server of net/http knows fixed times only, while operators change theirs
-// with each configuration, also for connections that are open.
+// The timeouts of net/http's server are fixed, while operators can change them with each configuration, also for connections
+// that are open.
 package acceptor
 
 import (
@@ -14,77 +14,78 @@
 	"time"
 )
 
-// Timeouts are the operators' bounds of a connection, both above zero.
+// Timeouts are the configured timeouts of a connection, both above zero.
 type Timeouts struct {
-	// Header is the time from the first byte of a request to the end of its header.
+	// Header is the maximum time from the first byte of a request to the end of its header.
 	Header time.Duration
-	// Idle is the time for which a connection may rest before its first byte and between two requests.
+	// Idle is the maximum time that a connection is idle before its first byte and between two requests.
 	Idle time.Duration
 }
 
-// Counters count connections of callers.
+// Counters counts connections of callers.
 type Counters struct {
 	Open int `json:"open"`
-	// ClosedIdle and ClosedHeader were closed because a time was over.
+	// ClosedIdle and ClosedHeader count connections that exceeded the idle timeout and the header timeout.
 	ClosedIdle   int64 `json:"closed_idle"`
 	ClosedHeader int64 `json:"closed_header"`
-	// Evicted rested and made room for new ones; Rejected were closed at once since none rested.
+	// Evicted counts idle connections that were closed to make room for new ones. Rejected counts new connections that were
+	// closed immediately because no connection was idle.
 	Evicted  int64 `json:"closed_for_room"`
 	Rejected int64 `json:"turned_away"`
 }
 
-// Acceptor follows the connections of one http.Server. It is safe for concurrent use.
+// Acceptor tracks the connections of one http.Server. It is safe for concurrent use.
 //
-// Lock order: Acceptor.mu alone; connections are closed without it.
+// No other lock is taken while Acceptor.mu is held, and connections are closed without holding it.
 type Acceptor struct {
-	// most is the largest number of connections.
-	most  int
-	times func() Timeouts
+	// maxConnections is the maximum number of open connections.
+	maxConnections int
+	timeouts       func() Timeouts
 
 	mu          sync.Mutex
 	connections map[*connection]struct{}
-	// resting holds the connections without a request, the one that rests longest first.
-	resting  *list.List
+	// idle holds the connections without a request, the longest idle one first.
+	idle     *list.List
 	counters Counters
 }
 
-// phase is what a connection is doing.
+// phase is the state of a connection.
 type phase int
 
 const (
-	// resting connections have no request.
-	resting phase = iota
-	// heading connections have part of a header.
-	heading
-	// busy connections have a request.
-	busy
+	// idle connections have no request.
+	idle phase = iota
+	// readingHeader connections have sent a part of a header.
+	readingHeader
+	// active connections have a request in progress.
+	active
 )
 
-// connection is one caller's connection. Its fields beside Conn are guarded by Acceptor.mu.
+// connection is one caller's connection. Its fields other than Conn are guarded by Acceptor.mu.
 type connection struct {
 	net.Conn
 	acceptor *Acceptor
 	phase    phase
-	// timer ends the present phase.
+	// timer closes the connection when the current phase exceeds its timeout.
 	timer *time.Timer
-	// turn counts the phases; a timer of an earlier one says nothing.
-	turn int
-	// place is its element in Acceptor.resting, nil in other phases.
-	place *list.Element
+	// generation counts the phases, so that a timer of an earlier phase is ignored.
+	generation int
+	// element is the connection's element in Acceptor.idle, or nil in other phases.
+	element *list.Element
 }
 
-// Read implements net.Conn. The server tells that a request has begun only once its header is whole, so
-// the first byte is noted here.
+// Read implements net.Conn. The server reports the start of a request only after its header is complete, so the first byte is
+// detected here.
 func (c *connection) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n > 0 {
-		c.acceptor.move(c, heading, func() bool { return c.phase == resting })
+		c.acceptor.transition(c, readingHeader, func() bool { return c.phase == idle })
 	}
 
 	return n, err
 }
 
-// CloseWrite lets the server close without a reset that would take the answer's last bytes with it.
+// CloseWrite lets the server close the connection without a reset, which could discard the last bytes of an answer.
 func (c *connection) CloseWrite() error {
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return half.CloseWrite()
@@ -93,31 +94,31 @@
 	return nil
 }
 
-// New returns an acceptor of so many connections at most. times tells the bounds in force.
-func New(most int, times func() Timeouts) *Acceptor {
-	return &Acceptor{most: most, times: times, connections: make(map[*connection]struct{}), resting: list.New()}
+// New returns an Acceptor of at most maxConnections connections. The timeouts function returns the current timeouts.
+func New(maxConnections int, timeouts func() Timeouts) *Acceptor {
+	return &Acceptor{maxConnections: maxConnections, timeouts: timeouts, connections: make(map[*connection]struct{}), idle: list.New()}
 }
 
-// Serve answers the listener's connections with the server until the listener or the server is closed.
-// The server must not be used elsewhere.
+// Serve serves the listener's connections with the server until the listener or the server is closed. It changes the server,
+// which must not be used elsewhere.
 func (a *Acceptor) Serve(server *http.Server, listener net.Listener) error {
 	handler := server.Handler
 	server.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if c, ok := r.Context().Value(connectionKey{}).(*connection); ok {
-			a.move(c, busy, always)
+		if c, ok := r.Context().Value(connectionContextKey{}).(*connection); ok {
+			a.transition(c, active, always)
 		}
 
 		handler.ServeHTTP(w, r)
 	})
 	server.ConnContext = func(ctx context.Context, c net.Conn) context.Context {
-		return context.WithValue(ctx, connectionKey{}, c)
+		return context.WithValue(ctx, connectionContextKey{}, c)
 	}
-	server.ConnState = a.follow
+	server.ConnState = a.trackState
 
-	return server.Serve(&wrapper{Listener: listener, acceptor: a})
+	return server.Serve(&trackingListener{Listener: listener, acceptor: a})
 }
 
-// Counters returns the counts since the start.
+// Counters returns the number of open connections and the counts since the start.
 func (a *Acceptor) Counters() Counters {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -128,27 +129,27 @@
 	return counters
 }
 
-// connectionKey is the key of a request's connection in its context.
-type connectionKey struct{}
+// connectionContextKey is the key of a request's connection in its context.
+type connectionContextKey struct{}
 
-// wrapper makes each connection of a listener one that the acceptor follows.
-type wrapper struct {
+// trackingListener wraps the connections of a listener so that the acceptor can track them.
+type trackingListener struct {
 	net.Listener
 	acceptor *Acceptor
 }
 
 // Accept implements net.Listener.
-func (w *wrapper) Accept() (net.Conn, error) {
+func (w *trackingListener) Accept() (net.Conn, error) {
 	c, err := w.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
 
-	return &connection{Conn: c, acceptor: w.acceptor, phase: busy}, nil
+	return &connection{Conn: c, acceptor: w.acceptor, phase: active}, nil
 }
 
-// follow is the server's ConnState.
-func (a *Acceptor) follow(raw net.Conn, state http.ConnState) {
+// trackState is the ConnState hook of the server.
+func (a *Acceptor) trackState(raw net.Conn, state http.ConnState) {
 	c, ok := raw.(*connection)
 	if !ok {
 		return
@@ -156,32 +157,32 @@
 
 	switch state {
 	case http.StateNew:
-		a.add(c)
+		a.admit(c)
 	case http.StateIdle:
-		a.move(c, resting, always)
+		a.transition(c, idle, always)
 	case http.StateClosed, http.StateHijacked:
 		a.mu.Lock()
-		a.drop(c)
+		a.remove(c)
 		a.mu.Unlock()
 	case http.StateActive:
 	}
 }
 
-// add takes in a new connection. Where there are too many, the one that rests longest makes room: its
-// caller has no request on it and can open another one. Without a bound the process would run out of
-// descriptors, and could then reach neither upstreams nor its peers.
-func (a *Acceptor) add(c *connection) {
+// admit adds a new connection. At the maximum, it evicts the longest idle connection, whose caller has no request on it and
+// can reconnect. Without a limit the process would run out of file descriptors, and could then reach neither upstreams nor
+// its peers.
+func (a *Acceptor) admit(c *connection) {
 	a.mu.Lock()
 
-	closing := a.makeRoom()
-	if closing == nil && len(a.connections) >= a.most {
+	closing := a.evictIdle()
+	if closing == nil && len(a.connections) >= a.maxConnections {
 		closing = c
 		a.counters.Rejected++
 	}
 
 	if closing != c {
 		a.connections[c] = struct{}{}
-		a.begin(c, resting)
+		a.enter(c, idle)
 	}
 	a.mu.Unlock()
 
@@ -190,19 +191,20 @@
 	}
 }
 
-// makeRoom drops the connection that rests longest if there are too many, and returns it to be closed; a.mu is held.
-func (a *Acceptor) makeRoom() *connection {
-	if len(a.connections) < a.most {
+// evictIdle removes the longest idle connection if the maximum is reached, and returns it for the caller to close; a.mu must
+// be held.
+func (a *Acceptor) evictIdle() *connection {
+	if len(a.connections) < a.maxConnections {
 		return nil
 	}
 
-	oldest := a.resting.Front()
+	oldest := a.idle.Front()
 	if oldest == nil {
 		return nil
 	}
 
 	c, _ := oldest.Value.(*connection)
-	a.drop(c)
+	a.remove(c)
 	a.counters.Evicted++
 
 	return c
@@ -210,69 +212,69 @@
 
 func always() bool { return true }
 
-// move brings a connection to another phase if the condition holds.
-func (a *Acceptor) move(c *connection, to phase, condition func() bool) {
+// transition moves a tracked connection to another phase if the condition is true.
+func (a *Acceptor) transition(c *connection, to phase, condition func() bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 
 	if _, known := a.connections[c]; known && condition() {
-		a.begin(c, to)
+		a.enter(c, to)
 	}
 }
 
-// begin starts a phase with its time; a.mu is held.
-func (a *Acceptor) begin(c *connection, to phase) {
-	a.end(c)
+// enter starts a phase and its timeout; a.mu must be held.
+func (a *Acceptor) enter(c *connection, to phase) {
+	a.leave(c)
 	c.phase = to
-	times := a.times()
+	timeouts := a.timeouts()
 
 	switch to {
-	case resting:
-		c.place = a.resting.PushBack(c)
-		a.expireAfter(c, times.Idle, &a.counters.ClosedIdle)
-	case heading:
-		a.expireAfter(c, times.Header, &a.counters.ClosedHeader)
-	case busy:
+	case idle:
+		c.element = a.idle.PushBack(c)
+		a.closeAfter(c, timeouts.Idle, &a.counters.ClosedIdle)
+	case readingHeader:
+		a.closeAfter(c, timeouts.Header, &a.counters.ClosedHeader)
+	case active:
 	}
 }
 
-// end ends the present phase; a.mu is held.
-func (a *Acceptor) end(c *connection) {
-	c.turn++
+// leave ends the current phase; a.mu must be held.
+func (a *Acceptor) leave(c *connection) {
+	c.generation++
 
 	if c.timer != nil {
 		c.timer.Stop()
 		c.timer = nil
 	}
 
-	if c.place != nil {
-		a.resting.Remove(c.place)
-		c.place = nil
+	if c.element != nil {
+		a.idle.Remove(c.element)
+		c.element = nil
 	}
 }
 
-// expireAfter closes the connection if its phase lasts longer; a.mu is held.
-func (a *Acceptor) expireAfter(c *connection, bound time.Duration, counter *int64) {
-	turn := c.turn
+// closeAfter closes the connection if its phase exceeds the timeout; a.mu must be held.
+func (a *Acceptor) closeAfter(c *connection, timeout time.Duration, counter *int64) {
+	generation := c.generation
 
-	c.timer = time.AfterFunc(bound, func() {
+	c.timer = time.AfterFunc(timeout, func() {
 		a.mu.Lock()
 
-		over := c.turn == turn
-		if over {
-			a.drop(c)
+		expired := c.generation == generation
+		if expired {
+			a.remove(c)
 			*counter++
 		}
 		a.mu.Unlock()
 
-		if over {
+		if expired {
 			_ = c.Close()
 		}
 	})
 }
 
-// drop forgets a connection; a.mu is held.
-func (a *Acceptor) drop(c *connection) {
-	a.end(c)
+// remove stops tracking a connection; a.mu must be held.
+func (a *Acceptor) remove(c *connection) {
+	a.leave(c)
 	delete(a.connections, c)
 }
--- a/internal/gateway/acceptor/acceptor_test.go
+++ b/internal/gateway/acceptor/acceptor_test.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	headerTime = 3 * time.Second
-	idleTime   = 15 * time.Second
+	headerTimeout = 3 * time.Second
+	idleTimeout   = 15 * time.Second
 )
 
-// pipes is a listener whose connections live in memory, so that they follow virtual time.
-type pipes chan net.Conn
+// pipeListener is a listener of in-memory connections, which work with the virtual time of synctest.
+type pipeListener chan net.Conn
 
-func (p pipes) Accept() (net.Conn, error) {
+func (p pipeListener) Accept() (net.Conn, error) {
 	c, ok := <-p
 	if !ok {
 		return nil, net.ErrClosed
@@ -32,33 +32,33 @@
 	return c, nil
 }
 
-func (p pipes) Close() error   { return nil }
-func (p pipes) Addr() net.Addr { return &net.TCPAddr{} }
+func (p pipeListener) Close() error   { return nil }
+func (p pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-func (p pipes) open() net.Conn {
+func (p pipeListener) open() net.Conn {
 	near, far := net.Pipe()
 	p <- far
 
 	return near
 }
 
-// serve runs a server that answers each request after the time that its path asks for.
-func serve(t *testing.T, most int, run func(*testing.T, pipes, *acceptor.Acceptor, *acceptor.Timeouts)) {
+// runServer runs a server that answers each request after the duration in its path.
+func runServer(t *testing.T, maxConnections int, run func(*testing.T, pipeListener, *acceptor.Acceptor, *acceptor.Timeouts)) {
 	t.Helper()
 
 	synctest.Test(t, func(t *testing.T) {
-		times := &acceptor.Timeouts{Header: headerTime, Idle: idleTime}
-		a := acceptor.New(most, func() acceptor.Timeouts { return *times })
+		timeouts := &acceptor.Timeouts{Header: headerTimeout, Idle: idleTimeout}
+		a := acceptor.New(maxConnections, func() acceptor.Timeouts { return *timeouts })
 		server := &http.Server{Handler: http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 			if wait, err := time.ParseDuration(r.URL.Path[1:]); err == nil {
 				time.Sleep(wait)
 			}
 		})}
 
-		listener := make(pipes)
+		listener := make(pipeListener)
 		go func() { _ = a.Serve(server, listener) }()
 
-		run(t, listener, a, times)
+		run(t, listener, a, timeouts)
 
 		close(listener)
 		assert.NilError(t, server.Close())
@@ -66,7 +66,7 @@
 	})
 }
 
-func ask(t *testing.T, c net.Conn, path string) error {
+func get(t *testing.T, c net.Conn, path string) error {
 	t.Helper()
 
 	if _, err := io.WriteString(c, "GET "+path+" HTTP/1.1\r\nHost: a\r\n\r\n"); err != nil {
@@ -81,80 +81,77 @@
 	return response.Body.Close()
 }
 
-// closed says whether the server has closed the connection.
-func closed(t *testing.T, c net.Conn) bool {
+// isClosed reports whether the server has closed the connection.
+func isClosed(t *testing.T, c net.Conn) bool {
 	t.Helper()
 
-	// A pipe whose other end is closed takes no deadline.
+	// SetReadDeadline fails on a pipe whose other end is closed.
 	_ = c.SetReadDeadline(time.Now().Add(time.Millisecond))
 	_, err := c.Read(make([]byte, 1))
 
 	return errors.Is(err, io.EOF)
 }
 
-// Symptom: callers that use a connection again within the operators' idle time find it closed.
-// Cause: the server closed after a time of its own.
+// Guards against connections that are closed within the configured idle timeout, because the server uses a timeout of its own.
 func TestRestingConnectionsStayForTheOperatorsTime(t *testing.T) {
-	serve(t, 10, func(t *testing.T, listener pipes, a *acceptor.Acceptor, times *acceptor.Timeouts) {
+	runServer(t, 10, func(t *testing.T, listener pipeListener, a *acceptor.Acceptor, times *acceptor.Timeouts) {
 		times.Idle = 2 * time.Minute
 
 		c := listener.open()
-		assert.NilError(t, ask(t, c, "/"))
+		assert.NilError(t, get(t, c, "/"))
 		time.Sleep(119 * time.Second)
-		assert.NilError(t, ask(t, c, "/"))
+		assert.NilError(t, get(t, c, "/"))
 		time.Sleep(121 * time.Second)
-		assert.Assert(t, closed(t, c))
+		assert.Assert(t, isClosed(t, c))
 		assert.Equal(t, a.Counters(), acceptor.Counters{ClosedIdle: 1})
 	})
 }
 
-// Symptom: a caller that sends its header byte by byte holds a connection for as long as it likes.
-// Sequence: the first byte comes, the rest doesn't.
+// Guards against callers that hold a connection indefinitely by sending the first bytes of a header but not the rest.
 func TestSlowHeaderIsCut(t *testing.T) {
-	serve(t, 10, func(t *testing.T, listener pipes, a *acceptor.Acceptor, _ *acceptor.Timeouts) {
+	runServer(t, 10, func(t *testing.T, listener pipeListener, a *acceptor.Acceptor, _ *acceptor.Timeouts) {
 		c := listener.open()
 		_, err := io.WriteString(c, "GET / HTTP/1.1\r\n")
 		assert.NilError(t, err)
-		time.Sleep(headerTime + time.Second)
-		assert.Assert(t, closed(t, c))
+		time.Sleep(headerTimeout + time.Second)
+		assert.Assert(t, isClosed(t, c))
 		assert.Equal(t, a.Counters(), acceptor.Counters{ClosedHeader: 1})
 	})
 }
 
-// A request may last longer than both times: its own limit holds for it.
+// A request may last longer than both timeouts, since it has a limit of its own.
 func TestRunningRequestIsNotCut(t *testing.T) {
-	serve(t, 10, func(t *testing.T, listener pipes, _ *acceptor.Acceptor, _ *acceptor.Timeouts) {
-		assert.NilError(t, ask(t, listener.open(), "/1m"))
+	runServer(t, 10, func(t *testing.T, listener pipeListener, _ *acceptor.Acceptor, _ *acceptor.Timeouts) {
+		assert.NilError(t, get(t, listener.open(), "/1m"))
 	})
 }
 
-// Symptom: with many callers a node reaches neither upstreams nor peers.
-// Sequence: callers keep as many connections as the process has descriptors.
-// Cause: nothing bounded them.
+// Guards against a node that reaches neither upstreams nor peers, because callers' connections use all file descriptors of the
+// process and nothing limits them.
 func TestConnectionThatRestsLongestMakesRoom(t *testing.T) {
-	serve(t, 2, func(t *testing.T, listener pipes, a *acceptor.Acceptor, _ *acceptor.Timeouts) {
+	runServer(t, 2, func(t *testing.T, listener pipeListener, a *acceptor.Acceptor, _ *acceptor.Timeouts) {
 		first, second := listener.open(), listener.open()
-		assert.NilError(t, ask(t, first, "/"))
+		assert.NilError(t, get(t, first, "/"))
 		time.Sleep(time.Second)
-		assert.NilError(t, ask(t, second, "/"))
+		assert.NilError(t, get(t, second, "/"))
 
 		third := listener.open()
-		assert.NilError(t, ask(t, third, "/"))
-		assert.Assert(t, closed(t, first))
-		assert.Assert(t, !closed(t, second))
+		assert.NilError(t, get(t, third, "/"))
+		assert.Assert(t, isClosed(t, first))
+		assert.Assert(t, !isClosed(t, second))
 		assert.Equal(t, a.Counters(), acceptor.Counters{Open: 2, Evicted: 1})
 	})
 }
 
-// A connection with a request on it is never closed for another one.
-func TestNewConnectionIsTurnedAwayWhileAllAreBusy(t *testing.T) {
-	serve(t, 1, func(t *testing.T, listener pipes, a *acceptor.Acceptor, _ *acceptor.Timeouts) {
+// A connection with a request in progress is never closed for a new one.
+func TestNewConnectionIsRejectedWhileAllAreActive(t *testing.T) {
+	runServer(t, 1, func(t *testing.T, listener pipeListener, a *acceptor.Acceptor, _ *acceptor.Timeouts) {
 		answered := make(chan error, 1)
 		busy := listener.open()
-		go func() { answered <- ask(t, busy, "/10s") }()
+		go func() { answered <- get(t, busy, "/10s") }()
 		time.Sleep(time.Second)
 
-		assert.Assert(t, ask(t, listener.open(), "/") != nil)
+		assert.Assert(t, get(t, listener.open(), "/") != nil)
 		assert.NilError(t, <-answered)
 		assert.Equal(t, a.Counters().Rejected, int64(1))
 	})
