--- a/internal/gateway/leader/call_checker_test.go
+++ b/internal/gateway/leader/call_checker_test.go
@@ -6,78 +6,78 @@
 	"time"
 )
 
-// arrival is a call of a duty as the platform got it.
-type arrival struct {
+// receivedCall is a call as the platform received it.
+type receivedCall struct {
 	at      time.Time
 	machine string
 	number  int64
-	// excused says that its sender was just thawed or cut off, or the platform impaired.
+	// excused is true if the sender was just resumed or its connection just restored, or the platform just became available.
 	excused bool
 }
 
-// judge is the platform's side of the duties: it finds calls that show two holders at once.
-type judge struct {
-	// arrivals are the calls of each duty and subject in their order.
-	arrivals map[string][]arrival
-	usage    map[int64]map[string]int64
-	faults   []string
+// callChecker checks the calls that the platform receives for signs of two simultaneous holders.
+type callChecker struct {
+	// calls holds the calls by subject, in the order of their arrival.
+	calls      map[string][]receivedCall
+	usage      map[int64]map[string]int64
+	violations []string
 }
 
-func newJudge() *judge {
-	return &judge{arrivals: make(map[string][]arrival), usage: make(map[int64]map[string]int64)}
+func newCallChecker() *callChecker {
+	return &callChecker{calls: make(map[string][]receivedCall), usage: make(map[int64]map[string]int64)}
 }
 
-func (j *judge) fault(format string, args ...any) {
-	j.faults = append(j.faults, fmt.Sprintf(format, args...))
+func (c *callChecker) addViolation(format string, args ...any) {
+	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
 
-// call takes a call of a subject.
-func (j *judge) call(subject string, next arrival) {
-	for _, former := range j.arrivals[subject] {
-		if former.number == next.number && former.machine != next.machine {
-			j.fault("%s: %s and %s send number %d", subject, former.machine, next.machine, next.number)
+// addCall adds a call for a subject and checks it against the earlier ones.
+func (c *callChecker) addCall(subject string, next receivedCall) {
+	for _, earlier := range c.calls[subject] {
+		if earlier.number == next.number && earlier.machine != next.machine {
+			c.addViolation("%s: %s and %s send number %d", subject, earlier.machine, next.machine, next.number)
 		}
 
-		if former.number > next.number && !next.excused {
-			j.fault("%s: number %d of %s after %d of %s", subject, next.number, next.machine, former.number, former.machine)
+		if earlier.number > next.number && !next.excused {
+			c.addViolation("%s: number %d of %s after %d of %s", subject, next.number, next.machine, earlier.number, earlier.machine)
 		}
 	}
 
-	j.arrivals[subject] = append(j.arrivals[subject], next)
-	j.checkTurns(subject, next)
+	c.calls[subject] = append(c.calls[subject], next)
+	c.checkAlternation(subject, next)
 }
 
-// checkTurns looks for holders that act in the order A, B, A within a lease, the last call being next.
-func (j *judge) checkTurns(subject string, next arrival) {
+// checkAlternation looks for calls from holders A, B and A again within one lease, the last of which is next.
+func (c *callChecker) checkAlternation(subject string, next receivedCall) {
 	if next.excused {
 		return
 	}
 
 	other := false
 
-	for i := len(j.arrivals[subject]) - 2; i >= 0; i-- {
-		former := j.arrivals[subject][i]
+	for i := len(c.calls[subject]) - 2; i >= 0; i-- {
+		earlier := c.calls[subject][i]
 
 		switch {
-		case next.at.Sub(former.at) >= lease:
+		case next.at.Sub(earlier.at) >= lease:
 			return
-		case former.excused:
-		case former.machine != next.machine:
+		case earlier.excused:
+		case earlier.machine != next.machine:
 			other = true
 		case other:
-			j.fault("%s: %s acts before and after another within %s", subject, next.machine, next.at.Sub(former.at))
+			c.addViolation("%s: %s acts before and after another within %s", subject, next.machine, next.at.Sub(earlier.at))
 
 			return
 		}
 	}
 }
 
-// report takes a report of usage.
-func (j *judge) report(window int64, counts map[string]int64) {
-	former, known := j.usage[window]
-	if known && !maps.Equal(former, counts) {
-		j.fault("window %d is reported as %v and as %v", window, former, counts)
+// addReport adds a usage report and checks that an earlier one of the same window is equal.
+func (c *callChecker) addReport(window int64, counts map[string]int64) {
+	earlier, known := c.usage[window]
+	if known && !maps.Equal(earlier, counts) {
+		c.addViolation("window %d is reported as %v and as %v", window, earlier, counts)
 	}
 
-	j.usage[window] = maps.Clone(counts)
+	c.usage[window] = maps.Clone(counts)
 }
--- a/internal/gateway/leader/cluster_test.go
+++ b/internal/gateway/leader/cluster_test.go
@@ -20,83 +20,84 @@
 )
 
 const (
-	lease  = 3 * time.Second
-	window = 5 * time.Second
-	due    = 10 * time.Second
-	// slack is how long after a thaw, a heal or an impairment calls are excused.
-	slack = 300 * time.Millisecond
-	// longestDial is the longest time in which a connection to the platform is made.
-	longestDial = 900 * time.Millisecond
-	// orderSubject is what all orders of the tests are about.
+	lease          = 3 * time.Second
+	window         = 5 * time.Second
+	reportDeadline = 10 * time.Second
+	// excusePeriod is how long calls are excused after the end of a freeze, a cut or an outage.
+	excusePeriod = 300 * time.Millisecond
+	// maxDialTime is the maximum time to connect to the platform.
+	maxDialTime = 900 * time.Millisecond
+	// orderSubject is the subject of all orders in these tests.
 	orderSubject = "scale engines in z"
-	// latency is the longest way of a call to the platform.
-	latency = 20 * time.Millisecond
+	// maxLatency is the maximum network latency of a call to the platform.
+	maxLatency = 20 * time.Millisecond
 )
 
 var errCut = errors.New("cut off")
 
-// world is a store, a platform and the machines of a deployment, under virtual time.
-type world struct {
-	store *keeper.Store
-	start time.Time
+// cluster simulates a store, a platform and the machines of a deployment in virtual time.
+type cluster struct {
+	store     *keeper.Store
+	startedAt time.Time
 
 	mu       sync.Mutex
-	judge    *judge
+	checker  *callChecker
 	machines map[string]*machine
 	random   *rand.Rand
-	// storeDown and platformDown are until when they answer nobody.
+	// storeDown and platformDown are the times until which the store and the platform answer no calls.
 	storeDown, platformDown time.Time
-	// truth counts the requests that began, by window and organisation.
-	truth tallier.Counts
-	group sync.WaitGroup
+	// expected counts the requests that started, by window and organisation.
+	expected tallier.Counts
+	group    sync.WaitGroup
 }
 
-func newWorld(names ...string) *world {
-	w := &world{
-		store: keeper.NewStore(keeper.StoreOptions{}), start: time.Now(), judge: newJudge(),
-		machines: make(map[string]*machine), random: rand.New(rand.NewPCG(7, 7)), truth: make(tallier.Counts),
+func newCluster(names ...string) *cluster {
+	c := &cluster{
+		store: keeper.NewStore(keeper.StoreOptions{}), startedAt: time.Now(), checker: newCallChecker(),
+		machines: make(map[string]*machine), random: rand.New(rand.NewPCG(7, 7)), expected: make(tallier.Counts),
 	}
 
 	for _, name := range names {
-		w.machines[name] = &machine{world: w, name: name}
+		c.machines[name] = &machine{cluster: c, name: name}
 	}
 
-	return w
+	return c
 }
 
-// sinceStart is the clock that nobody sets.
-func (w *world) sinceStart() time.Duration { return time.Since(w.start) }
+// monotonicTime returns the time of the monotonic clock, which is shared by all machines.
+func (c *cluster) monotonicTime() time.Duration { return time.Since(c.startedAt) }
 
-// machine is one VM; its processes come and go.
+// machine is a VM that runs at most one process at a time.
 type machine struct {
-	*world
+	*cluster
 	name string
 
-	// frozen, storeCut, platformCut and peersCut are until when it is.
+	// frozen, storeCut, platformCut and peersCut are the times until which the machine is frozen, or cut off from the store,
+	// the platform or its peers.
 	frozen, storeCut, platformCut, peersCut time.Time
-	// step is how far its time of day is off until stepped.
-	step    time.Duration
-	stepped time.Time
-	// losing is how many of its next writes are applied late and unanswered, after lateness.
-	losing   int
-	lateness time.Duration
-	process  *process
+	// clockOffset is the error of the wall clock until clockOffsetUntil.
+	clockOffset      time.Duration
+	clockOffsetUntil time.Time
+	// lostWrites is the number of next writes to the store that are applied after writeDelay and whose replies are lost.
+	lostWrites int
+	writeDelay time.Duration
+	process    *process
 }
 
-// process is one run of the program.
+// process is one run of a machine's process.
 type process struct {
 	*machine
-	life    string
-	tallier *tallier.Tallier
-	leader  *leader.Leader
-	stop    context.CancelFunc
-	dead    bool
+	incarnation string
+	tallier     *tallier.Tallier
+	leader      *leader.Leader
+	cancel      context.CancelFunc
+	dead        bool
 }
 
-func (m *machine) begin(ctx context.Context, life string) {
-	p := &process{machine: m, life: life}
-	ctx, p.stop = context.WithCancel(ctx)
-	p.tallier = tallier.New(tallier.Options{Incarnation: life, Window: window, Now: m.sinceStart, TimeOfDay: m.timeOfDay})
+func (m *machine) start(ctx context.Context, incarnation string) {
+	p := &process{machine: m, incarnation: incarnation}
+	ctx, p.cancel = context.WithCancel(ctx)
+	p.tallier = tallier.New(tallier.Options{Incarnation: incarnation, Window: window, Now: m.monotonicTime, TimeOfDay: m.timeOfDay})
 	spot := 0.15
 	services := []cataloguer.Service{{Name: "engines", Scaling: &cataloguer.Scaling{Maximum: 6, SpotPrice: &spot}}}
 	upstreams := []cataloguer.Upstream{{ID: "e", Service: "engines", FailureDomain: "z"}}
@@ -105,16 +106,16 @@
 		Registry:      cataloguer.Registry{Revision: 1, Upstreams: upstreams},
 	}
 	p.leader = leader.New(leader.Options{
-		Node: m.name, Self: m.name, Incarnation: life,
-		Store:    keeper.NewLocal(m.store, p.judgeStore),
+		Node: m.name, Self: m.name, Incarnation: incarnation,
+		Store:    keeper.NewLocal(m.store, p.storeFault),
 		Platform: p, Peers: p,
 		IsCandidate: func() bool { return true },
 		IsLeaving:   func() bool { return false },
-		Nodes:       m.names,
+		Nodes:       m.nodeNames,
 		State:       func() *cataloguer.State { return state },
-		Lease:       lease, CallsPerSecond: 50, Window: window, ReportDeadline: due, Scales: true,
+		Lease:       lease, CallsPerSecond: 50, Window: window, ReportDeadline: reportDeadline, Scales: true,
 		Policy: func() (scaler.Policy, bool) { return scaler.Policy{MaxFraction: 1}, true },
-		Now:    m.sinceStart, Logger: zerolog.Nop(),
+		Now:    m.monotonicTime, Logger: zerolog.Nop(),
 	})
 
 	m.mu.Lock()
@@ -124,13 +125,13 @@
 	m.group.Go(func() { p.leader.Run(ctx) })
 }
 
-func (w *world) names() []string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (c *cluster) nodeNames() []string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 
 	var names []string
 
-	for name, m := range w.machines {
+	for name, m := range c.machines {
 		if m.process != nil {
 			names = append(names, name)
 		}
@@ -143,15 +144,15 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 
-	if now := time.Now(); now.After(m.stepped) {
+	if now := time.Now(); now.After(m.clockOffsetUntil) {
 		return now
 	}
 
-	return time.Now().Add(m.step)
+	return time.Now().Add(m.clockOffset)
 }
 
-// wait returns once the machine isn't frozen, and says whether the process still runs.
-func (p *process) wait() bool {
+// waitWhileFrozen waits until the machine isn't frozen, and reports whether the process was still running before the wait.
+func (p *process) waitWhileFrozen() bool {
 	p.mu.Lock()
 	until, dead := p.frozen, p.dead
 	p.mu.Unlock()
@@ -160,9 +161,9 @@
 	return !dead
 }
 
-// judgeStore lets a call of the store meet what has happened to the machine.
-func (p *process) judgeStore(_ context.Context, call keeper.Call) keeper.Verdict {
-	if !p.wait() {
+// storeFault returns the effect of the present faults on a call to the store.
+func (p *process) storeFault(_ context.Context, call keeper.Call) keeper.Verdict {
+	if !p.waitWhileFrozen() {
 		return keeper.Verdict{LoseRequest: true}
 	}
 
@@ -174,19 +175,19 @@
 	switch {
 	case now.Before(p.storeDown) || now.Before(p.storeCut):
 		return keeper.Verdict{LoseRequest: true, DelayAfter: time.Second}
-	case call.Write && p.losing > 0:
-		p.losing--
+	case call.Write && p.lostWrites > 0:
+		p.lostWrites--
 
-		return keeper.Verdict{LoseReply: true, DelayBefore: p.lateness}
+		return keeper.Verdict{LoseReply: true, DelayBefore: p.writeDelay}
 	}
 
-	// The answer is on its way when the machine freezes: it is read after the thaw.
+	// If the machine freezes while the reply is in flight, the reply is read after the freeze.
 	return keeper.Verdict{DelayAfter: 4 * time.Millisecond}
 }
 
 // Call implements leader.Peers.
 func (p *process) Call(_ context.Context, peer, _ string, params, result any) error {
-	if !p.wait() {
+	if !p.waitWhileFrozen() {
 		return errCut
 	}
 
@@ -220,7 +221,7 @@
 
 // ReportUsage implements leader.Platform.
 func (p *process) ReportUsage(ctx context.Context, authority leader.Authority, window int64, counts map[string]int64) error {
-	return p.send(ctx, authority, "usage", func() { p.judge.report(window, counts) })
+	return p.send(ctx, authority, "usage", func() { p.checker.addReport(window, counts) })
 }
 
 // OrderUpstreams implements leader.Platform.
@@ -228,19 +229,19 @@
 	return p.send(ctx, authority, orderSubject, func() {})
 }
 
-// send carries a call to the platform.
-func (p *process) send(ctx context.Context, authority leader.Authority, subject string, take func()) error {
-	if ctx.Err() != nil || !p.wait() {
+// send simulates a call to the platform; record runs if the platform receives it.
+func (p *process) send(ctx context.Context, authority leader.Authority, subject string, record func()) error {
+	if ctx.Err() != nil || !p.waitWhileFrozen() {
 		return errCut
 	}
 
-	// A dial may take long, and the steady clock that bounds it doesn't count a freeze.
+	// Connecting may take long, and the monotonic clock of its timeout doesn't include a freeze.
 	p.mu.Lock()
-	dial := time.Duration(p.random.Int64N(int64(longestDial)))
+	dial := time.Duration(p.random.Int64N(int64(maxDialTime)))
 	p.mu.Unlock()
 	time.Sleep(dial)
 
-	if !p.wait() {
+	if !p.waitWhileFrozen() {
 		return errCut
 	}
 
@@ -248,15 +249,15 @@
 		return err
 	}
 
-	// The machine may freeze with the call in its hands, and it leaves after the thaw.
-	if !p.wait() {
+	// The machine may freeze after the check, and then sends the call after the freeze.
+	if !p.waitWhileFrozen() {
 		return errCut
 	}
 
 	p.mu.Lock()
-	way := time.Duration(p.random.Int64N(int64(latency)))
+	delay := time.Duration(p.random.Int64N(int64(maxLatency)))
 	p.mu.Unlock()
-	time.Sleep(way)
+	time.Sleep(delay)
 
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -266,19 +267,19 @@
 		return errCut
 	}
 
-	recent := func(end time.Time) bool { return !end.IsZero() && now.Sub(end) <= slack }
+	recent := func(end time.Time) bool { return !end.IsZero() && now.Sub(end) <= excusePeriod }
 	excused := recent(p.frozen) || recent(p.platformCut) || recent(p.platformDown)
-	p.judge.call(subject, arrival{at: now, machine: p.name, number: authority.Number, excused: excused})
-	take()
+	p.checker.addCall(subject, receivedCall{at: now, machine: p.name, number: authority.Number, excused: excused})
+	record()
 
 	return nil
 }
 
-// serve counts requests that begin now on a machine.
-func (w *world) serve(name, organisation string, requests int) {
-	w.mu.Lock()
-	p := w.machines[name].process
-	w.mu.Unlock()
+// countRequests counts requests that start now on a machine.
+func (c *cluster) countRequests(name, organisation string, requests int) {
+	c.mu.Lock()
+	p := c.machines[name].process
+	c.mu.Unlock()
 
 	if p == nil {
 		return
@@ -288,28 +289,28 @@
 		p.tallier.Count(organisation, 0)
 	}
 
-	w.mu.Lock()
-	defer w.mu.Unlock()
+	c.mu.Lock()
+	defer c.mu.Unlock()
 
-	w.truth.Add(time.Now().UnixNano()/int64(window), organisation, int64(requests))
+	c.expected.Add(time.Now().UnixNano()/int64(window), organisation, int64(requests))
 }
 
-// holder returns the machine whose process holds the duties, or another one if none does.
-func (w *world) holder(other string) *machine {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// holder returns the machine whose process holds the duties, or the given other one if none does.
+func (c *cluster) holder(other string) *machine {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 
-	for _, m := range w.machines {
+	for _, m := range c.machines {
 		if m.process != nil && m.process.leader.Status().Holds {
 			return m
 		}
 	}
 
-	return w.machines[other]
+	return c.machines[other]
 }
 
-// end ends the process of a machine: at once if it is killed, else in an orderly way.
-func (m *machine) end(killed bool) {
+// stop stops the process of a machine: immediately if killed is true, and gracefully otherwise.
+func (m *machine) stop(killed bool) {
 	m.mu.Lock()
 	p := m.process
 	m.process = nil
@@ -320,19 +321,19 @@
 	m.mu.Unlock()
 
 	if p != nil {
-		p.stop()
+		p.cancel()
 	}
 }
 
-// play runs a world until do returns, and then ends all processes.
-func play(t *testing.T, do func(t *testing.T, ctx context.Context)) {
+// runSimulation runs a function in virtual time. After it returns, all processes are stopped.
+func runSimulation(t *testing.T, do func(t *testing.T, ctx context.Context)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 
 		defer func() {
 			cancel()
-			// Calls that were given up still end.
+			// Wait for abandoned calls to return.
 			time.Sleep(time.Minute)
 		}()
 
--- a/internal/gateway/leader/leader.go
+++ b/internal/gateway/leader/leader.go
@@ -1,6 +1,6 @@
-// Package leader carries out the platform duties of a deployment: calls that one node at a time makes for all.
+// Package leader carries out the platform duties of a deployment: calls that one node at a time makes on behalf of all.
 //
-// The holder stands on a term of package fencer. Whatever it does, requests don't wait for it, and go on without any holder.
+// The holder of the duties acts under a term of package fencer. Requests never wait for the holder, and are served without one.
 package leader
 
 import (
@@ -22,81 +22,81 @@
 )
 
 const (
-	// candidateInterval is the time between two looks whether this node should hold the duties.
-	candidateInterval = 500 * time.Millisecond
-	firstDelay        = 200 * time.Millisecond
-	longestDelay      = 2 * time.Second
-	// callTimeout bounds one call of the platform.
+	// candidacyInterval is the time between two checks of whether this node should take or keep the duties.
+	candidacyInterval = 500 * time.Millisecond
+	minBackoff        = 200 * time.Millisecond
+	maxBackoff        = 2 * time.Second
+	// callTimeout is the timeout of one call to the platform.
 	callTimeout = time.Second
-	// storeTimeout bounds one call of the store.
+	// storeTimeout is the timeout of one call to the store.
 	storeTimeout = 700 * time.Millisecond
-	// failedTime is how long calls of the platform may fail before another node takes over, and restTime how long
-	// this one doesn't stand for it then.
-	failedTime = 3 * time.Second
-	restTime   = 10 * time.Second
-	// ratePart is the part of the calls that the platform accepts which the holder makes at most. A holder before it may
-	// have used its part in the same second.
-	ratePart = 0.5
+	// failureTimeout is how long calls to the platform may fail before this node gives up the duties. It is then not a
+	// candidate for candidacyPause, so that another node takes over.
+	failureTimeout = 3 * time.Second
+	candidacyPause = 10 * time.Second
+	// rateShare is the share of the platform's rate limit that the holder may use. The previous holder may have used its
+	// share in the same second.
+	rateShare = 0.5
 )
 
-// ErrUnavailable means that the platform has none of the ordered upstreams at the moment.
+// ErrUnavailable means that the platform currently has none of the ordered upstreams.
 var ErrUnavailable = errors.New("none are available")
 
-// Platform makes the calls.
+// Platform sends the calls of the duties to the platform.
 type Platform interface {
-	// ReportUsage reports a window's requests by organisation.
+	// ReportUsage reports the numbers of requests in a window by organisation.
 	ReportUsage(ctx context.Context, authority Authority, window int64, counts map[string]int64) error
-	// OrderUpstreams orders upstreams. It returns ErrUnavailable if there are none at the moment.
+	// OrderUpstreams orders upstreams. It returns ErrUnavailable if the platform currently has none.
 	OrderUpstreams(ctx context.Context, authority Authority, order scaler.Order) error
 }
 
-// Peers reaches other nodes, and this one by its own name.
+// Peers calls other nodes, and this node by its own name.
 type Peers interface {
 	Call(ctx context.Context, peer, method string, params, result any) error
 }
 
-// Options are the parts of a Leader; all are required.
+// Options configures a Leader; all fields are required.
 type Options struct {
-	// Node is the name for the platform, Self the one among peers; Incarnation names this run of the process.
+	// Node is the node's name for the platform, Self its name among peers. Incarnation identifies this run of the process.
 	Node, Self, Incarnation string
 	Store                   fencer.Store
 	Platform                Platform
 	Peers                   Peers
-	// IsCandidate says whether this node should take the duties if nobody holds them. It only avoids contention.
+	// IsCandidate reports whether this node should take the duties if no node holds them. It only reduces contention.
 	IsCandidate func() bool
-	// IsLeaving says that the node stops; it gives the duties up then.
+	// IsLeaving reports whether the node is stopping; it gives up the duties then.
 	IsLeaving func() bool
-	// Nodes returns the names of the nodes that may answer, those that leave among them.
+	// Nodes returns the names of the nodes that may answer, including leaving ones.
 	Nodes func() []string
 	State func() *cataloguer.State
-	// Lease is the length of a term.
+	// Lease is the length of a term's lease.
 	Lease time.Duration
-	// CallsPerSecond is what the platform accepts from all nodes together.
+	// CallsPerSecond is the platform's rate limit for all nodes together.
 	CallsPerSecond float64
-	// Window is the length of a window of usage, ReportDeadline how long after its end its report is due. No usage is reported if
-	// Window is 0.
+	// Window is the length of a usage window. ReportDeadline is how long after the end of a window its report is due. No
+	// usage is reported if Window is 0.
 	Window, ReportDeadline time.Duration
-	// Scales says that the platform takes orders of upstreams.
+	// Scales is true if the platform accepts orders of upstreams.
 	Scales bool
-	// Policy returns what is to be kept; false while nothing shall be ordered.
+	// Policy returns the scaling policy, and false while no upstreams must be ordered.
 	Policy func() (scaler.Policy, bool)
-	// Now is a clock that counts suspensions and that nobody sets.
+	// Now returns the time of a monotonic clock that includes suspensions.
 	Now    func() time.Duration
 	Logger zerolog.Logger
 }
 
-// Leader holds the duties when it is this node's turn. It is safe for concurrent use.
+// Leader competes for the duties and carries them out while it holds them. It is safe for concurrent use.
 type Leader struct {
 	options Options
 	fencer  *fencer.Fencer
 	usage   *collector.Collector
 	limit   *rate.Limiter
 	status  status
-	// restUntil is until when this node doesn't stand for the duties, by the options' clock.
-	restUntil atomic.Int64
+	// pausedUntil is until when this node is not a candidate, by Options.Now.
+	pausedUntil atomic.Int64
 }
 
-// New returns a leader that holds nothing.
+// New returns a Leader that doesn't hold the duties.
 func New(options Options) *Leader {
 	return &Leader{
 		options: options,
@@ -107,18 +107,18 @@
 		usage: collector.New(collector.Options{
 			Store: options.Store, Window: options.Window, ReportDeadline: options.ReportDeadline, Now: options.Now,
 		}),
-		limit: rate.NewLimiter(rate.Limit(options.CallsPerSecond*ratePart), 1),
+		limit: rate.NewLimiter(rate.Limit(options.CallsPerSecond*rateShare), 1),
 	}
 }
 
-// Run holds the duties whenever it is this node's turn, until ctx ends.
+// Run competes for the duties and carries them out while it holds them, until ctx is done.
 func (l *Leader) Run(ctx context.Context) {
-	failures := backoff.NewExponentialBackOff()
-	failures.InitialInterval, failures.MaxInterval = firstDelay, longestDelay
+	retryBackoff := backoff.NewExponentialBackOff()
+	retryBackoff.InitialInterval, retryBackoff.MaxInterval = minBackoff, maxBackoff
 
 	for ctx.Err() == nil {
-		if l.resting() || !l.options.IsCandidate() {
-			sleeper.Sleep(ctx, candidateInterval)
+		if l.isPaused() || !l.options.IsCandidate() {
+			sleeper.Sleep(ctx, candidacyInterval)
 
 			continue
 		}
@@ -130,87 +130,87 @@
 			sleeper.Sleep(ctx, l.options.Lease/fencer.RenewalsPerLease)
 		case err != nil:
 			l.options.Logger.Warn().Err(err).Msg("duties_not_taken")
-			sleeper.Sleep(ctx, failures.NextBackOff())
+			sleeper.Sleep(ctx, retryBackoff.NextBackOff())
 		default:
-			failures.Reset()
-			l.hold(ctx, term)
+			retryBackoff.Reset()
+			l.runTerm(ctx, term)
 		}
 	}
 }
 
-// resting says whether this node has given the duties up so that another one tries.
-func (l *Leader) resting() bool {
-	return l.options.Now() < time.Duration(l.restUntil.Load())
+// isPaused reports whether this node has given up the duties so that another node takes over.
+func (l *Leader) isPaused() bool {
+	return l.options.Now() < time.Duration(l.pausedUntil.Load())
 }
 
-// tenure is one term of this node with what it needs for its calls.
-type tenure struct {
+// activeTerm is a term that this node holds, with the state of its calls.
+type activeTerm struct {
 	*fencer.Term
 
 	authority Authority
-	// settled is when the first call may leave. The holder before the last one may be this node: had both acted just now, the
-	// platform would see them act in turns within the length of a lease.
-	settled time.Duration
-	// failing is since when calls of the platform have failed; 0 if the last one succeeded.
-	failing atomic.Int64
+	// callsAllowedAt is when the first call may be sent. This node may also have been the holder before the previous one. If
+	// it called immediately, the platform could see calls from this node, another and this one again within one lease.
+	callsAllowedAt time.Duration
+	// failingSince is when calls to the platform began to fail; 0 if the last one succeeded.
+	failingSince atomic.Int64
 }
 
-// hold carries out the duties until the term is over or given up.
-func (l *Leader) hold(ctx context.Context, term *fencer.Term) {
-	t := &tenure{Term: term, authority: Authority{Holder: l.options.Node, Number: term.Number, Valid: term.Valid}}
+// runTerm carries out the duties until the term has ended or is given up.
+func (l *Leader) runTerm(ctx context.Context, term *fencer.Term) {
+	t := &activeTerm{Term: term, authority: Authority{Holder: l.options.Node, Number: term.Number, Valid: term.Valid}}
 	if !term.IsFirst && !term.IsContinuation {
-		t.settled = l.options.Now() + l.options.Lease
+		t.callsAllowedAt = l.options.Now() + l.options.Lease
 	}
 
-	l.status.begin(term.Number)
+	l.status.beginTerm(term.Number)
 	l.options.Logger.Info().Int64("number", term.Number).Bool("first", term.IsFirst).Bool("continued", term.IsContinuation).Msg("duties_taken")
 
-	work, cancel := context.WithCancel(ctx)
+	workCtx, cancel := context.WithCancel(ctx)
 
-	var working sync.WaitGroup
+	var workers sync.WaitGroup
 
-	working.Go(func() { term.Renew(work) })
+	workers.Go(func() { term.Renew(workCtx) })
 
 	if l.options.Window > 0 {
-		working.Go(func() { l.reportUsage(work, t) })
+		workers.Go(func() { l.reportUsage(workCtx, t) })
 	}
 
 	if l.options.Scales {
-		working.Go(func() { l.orderUpstreams(work, t) })
+		workers.Go(func() { l.orderUpstreams(workCtx, t) })
 	}
 
-	for !term.Ended() && !l.resting() && !l.options.IsLeaving() && sleeper.Sleep(work, candidateInterval) {
-		l.yieldIfFailing(t)
+	for !term.Ended() && !l.isPaused() && !l.options.IsLeaving() && sleeper.Sleep(workCtx, candidacyInterval) {
+		l.pauseIfFailing(t)
 	}
 
 	l.options.Logger.Info().Int64("number", term.Number).Bool("lost", term.Ended()).Msg("duties_left")
 	term.End()
 	cancel()
-	working.Wait()
+	workers.Wait()
 	term.Release(ctx)
-	l.status.end()
+	l.status.endTerm()
 }
 
-// yieldIfFailing lets another node try where the platform has not answered this one for a while.
-func (l *Leader) yieldIfFailing(t *tenure) {
+// pauseIfFailing gives up the duties if calls to the platform have failed for too long, so that another node tries.
+func (l *Leader) pauseIfFailing(t *activeTerm) {
 	now := l.options.Now()
 
-	if since := t.failing.Load(); since > 0 && now-time.Duration(since) > failedTime {
-		l.restUntil.Store(int64(now + restTime))
+	if since := t.failingSince.Load(); since > 0 && now-time.Duration(since) > failureTimeout {
+		l.pausedUntil.Store(int64(now + candidacyPause))
 	}
 }
 
-// call makes one call of the platform under the term, if the term and the rate allow it.
-func (l *Leader) call(ctx context.Context, t *tenure, send func(ctx context.Context) error) error {
-	if l.options.Now() < t.settled || !t.Valid() {
-		return errNotYet
+// call makes one call to the platform under the term, if the term allows it, and waits for the rate limit.
+func (l *Leader) call(ctx context.Context, t *activeTerm, send func(ctx context.Context) error) error {
+	if l.options.Now() < t.callsAllowedAt || !t.Valid() {
+		return errCallNotAllowed
 	}
 
 	if err := l.limit.Wait(ctx); err != nil {
 		return err
 	}
 
-	// A call that is under way when the term ends could arrive after one of the next holder.
+	// A call in flight when the term ends could arrive after a call of the next holder.
 	ctx, cancel := context.WithTimeout(ctx, min(callTimeout, t.Remaining()))
 	defer cancel()
 
@@ -218,13 +218,13 @@
 
 	switch {
 	case err == nil || errors.Is(err, ErrUnavailable):
-		t.failing.Store(0)
+		t.failingSince.Store(0)
 	default:
-		t.failing.CompareAndSwap(0, int64(l.options.Now()))
+		t.failingSince.CompareAndSwap(0, int64(l.options.Now()))
 	}
 
 	return err
 }
 
-// errNotYet means that the term doesn't allow a call at the moment.
-var errNotYet = errors.New("the term allows no call yet")
+// errCallNotAllowed means that the term doesn't allow a call yet, or no longer.
+var errCallNotAllowed = errors.New("the term does not allow a call now")
--- a/internal/gateway/leader/leader_test.go
+++ b/internal/gateway/leader/leader_test.go
@@ -9,94 +9,94 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against holders that act in turns within a lease, when planned stops pass the duties to and fro.
+// Guards against calls that alternate between two holders within one lease, when planned stops move the duties back and forth.
 func TestDutiesPassedToAndFro(t *testing.T) {
-	play(t, func(t *testing.T, ctx context.Context) {
-		w := newWorld("a", "b")
-		w.machines["a"].begin(ctx, "a.0")
-		w.machines["b"].begin(ctx, "b.0")
+	runSimulation(t, func(t *testing.T, ctx context.Context) {
+		c := newCluster("a", "b")
+		c.machines["a"].start(ctx, "a.0")
+		c.machines["b"].start(ctx, "b.0")
 
 		for i := range 6 {
-			machine := w.awaitAct()
-			machine.end(false)
-			machine.begin(ctx, fmt.Sprintf("%s.%d", machine.name, i+1))
+			machine := c.waitForOrder()
+			machine.stop(false)
+			machine.start(ctx, fmt.Sprintf("%s.%d", machine.name, i+1))
 		}
 
-		assert.DeepEqual(t, w.judge.faults, []string(nil))
+		assert.DeepEqual(t, c.checker.violations, []string(nil))
 	})
 }
 
-// awaitAct waits for the next call that the platform gets, and returns its sender.
-func (w *world) awaitAct() *machine {
-	acts := func() []arrival {
-		w.mu.Lock()
-		defer w.mu.Unlock()
+// waitForOrder waits for the next order that the platform receives, and returns its sender.
+func (c *cluster) waitForOrder() *machine {
+	orders := func() []receivedCall {
+		c.mu.Lock()
+		defer c.mu.Unlock()
 
-		return w.judge.arrivals[orderSubject]
+		return c.checker.calls[orderSubject]
 	}
 
-	for before := len(acts()); ; time.Sleep(10 * time.Millisecond) {
-		if got := acts(); len(got) > before {
-			return w.machines[got[len(got)-1].machine]
+	for before := len(orders()); ; time.Sleep(10 * time.Millisecond) {
+		if got := orders(); len(got) > before {
+			return c.machines[got[len(got)-1].machine]
 		}
 	}
 }
 
-// Guards against windows that are reported late, off or not at all while nothing is wrong.
+// Guards against windows that are reported late, inaccurately or not at all, without any fault but two wrong wall clocks.
 func TestUsageOfCalmWindows(t *testing.T) {
 	machines := []string{"a", "b", "c", "d", "e", "f"}
 
-	play(t, func(t *testing.T, ctx context.Context) {
-		w := newWorld(machines...)
-		// One of six clocks is off all the time, and another one steps.
-		w.machines["b"].step, w.machines["b"].stepped = 2*time.Second, time.Now().Add(time.Hour)
-		w.machines["c"].step, w.machines["c"].stepped = -2*time.Second, time.Now().Add(17*time.Second)
+	runSimulation(t, func(t *testing.T, ctx context.Context) {
+		c := newCluster(machines...)
+		// One of six wall clocks is wrong all the time, and another one steps.
+		c.machines["b"].clockOffset, c.machines["b"].clockOffsetUntil = 2*time.Second, time.Now().Add(time.Hour)
+		c.machines["c"].clockOffset, c.machines["c"].clockOffsetUntil = -2*time.Second, time.Now().Add(17*time.Second)
 
 		for _, name := range machines {
-			w.machines[name].begin(ctx, name)
+			c.machines[name].start(ctx, name)
 		}
 
 		time.Sleep(3 * time.Second)
 
 		for i := range 4_000 {
-			w.serve(machines[i%len(machines)], "large", 2)
+			c.countRequests(machines[i%len(machines)], "large", 2)
 
 			if i%10 == 0 {
-				w.serve(machines[i/10%len(machines)], "small", 1)
+				c.countRequests(machines[i/10%len(machines)], "small", 1)
 			}
 
 			time.Sleep(10 * time.Millisecond)
 		}
 
-		time.Sleep(due)
-		w.checkUsage(t, 0.05)
-		assert.DeepEqual(t, w.judge.faults, []string(nil))
+		time.Sleep(reportDeadline)
+		c.checkUsage(t, 0.05)
+		assert.DeepEqual(t, c.checker.violations, []string(nil))
 	})
 }
 
-// checkUsage fails unless each window that is due is reported within a part of the truth.
-func (w *world) checkUsage(t *testing.T, off float64) {
+// checkUsage fails unless each window that is due is reported and its counts are within a fraction, tolerance, of the requests.
+func (c *cluster) checkUsage(t *testing.T, tolerance float64) {
 	t.Helper()
 
-	w.mu.Lock()
-	defer w.mu.Unlock()
+	c.mu.Lock()
+	defer c.mu.Unlock()
 
-	for number, counts := range w.truth {
-		if end := time.Unix(0, (number+1)*int64(window)); time.Since(end) < due {
+	for number, counts := range c.expected {
+		if end := time.Unix(0, (number+1)*int64(window)); time.Since(end) < reportDeadline {
 			continue
 		}
 
-		reported, known := w.judge.usage[number]
+		reported, known := c.checker.usage[number]
 		assert.Assert(t, known, "window %d", number)
 
-		for organisation, truth := range counts {
+		for organisation, want := range counts {
 			got := reported[organisation]
-			assert.Assert(t, max(got-truth, truth-got) <= int64(off*float64(truth)), "window %d, %s: %d of %d", number, organisation, got, truth)
+			assert.Assert(t, max(got-want, want-got) <= int64(tolerance*float64(want)), "window %d, %s: %d of %d", number, organisation, got, want)
 		}
 	}
 }
 
-// Guards against the loss of what was counted when the holder and others end at once, and when all do.
+// Guards against the loss of counts when the holder and other nodes, or all nodes, are killed at the same time.
 func TestUsageOutlivesNodes(t *testing.T) {
 	tests := map[string][]string{
 		"holder and half":  {"a", "b", "c"},
@@ -106,41 +106,41 @@
 
 	for name, killed := range tests {
 		t.Run(name, func(t *testing.T) {
-			play(t, func(t *testing.T, ctx context.Context) {
-				w := newWorld("a", "b", "c", "d", "e", "f")
-				w.machines["a"].begin(ctx, "a.0")
+			runSimulation(t, func(t *testing.T, ctx context.Context) {
+				c := newCluster("a", "b", "c", "d", "e", "f")
+				c.machines["a"].start(ctx, "a.0")
 				time.Sleep(time.Second)
 
 				for _, other := range []string{"b", "c", "d", "e", "f"} {
-					w.machines[other].begin(ctx, other+".0")
+					c.machines[other].start(ctx, other+".0")
 				}
 
 				time.Sleep(time.Until(time.Now().Truncate(window).Add(window)))
 
 				for range 40 {
-					for machine := range w.machines {
-						w.serve(machine, "shop", 5)
+					for machine := range c.machines {
+						c.countRequests(machine, "shop", 5)
 					}
 
 					time.Sleep(50 * time.Millisecond)
 				}
 
-				// What was counted is with others within two rounds.
+				// Within two collections, all counts have left the nodes that counted them.
 				time.Sleep(2100 * time.Millisecond)
 
 				for _, machine := range killed {
-					w.machines[machine].end(true)
+					c.machines[machine].stop(true)
 				}
 
 				time.Sleep(500 * time.Millisecond)
 
 				for _, machine := range killed {
-					w.machines[machine].begin(ctx, machine+".1")
+					c.machines[machine].start(ctx, machine+".1")
 				}
 
-				time.Sleep(window + due)
-				w.checkUsage(t, 0.05)
-				assert.DeepEqual(t, w.judge.faults, []string(nil))
+				time.Sleep(window + reportDeadline)
+				c.checkUsage(t, 0.05)
+				assert.DeepEqual(t, c.checker.violations, []string(nil))
 			})
 		})
 	}
--- a/internal/gateway/leader/property_test.go
+++ b/internal/gateway/leader/property_test.go
@@ -9,65 +9,65 @@
 	"pgregory.net/rapid"
 )
 
-// longestFault is the longest time that a fault lasts.
-const longestFault = 8 * time.Second
+// maxFaultLength is the maximum duration of a fault.
+const maxFaultLength = 8 * time.Second
 
-// event is one fault of a history.
-type event struct {
+// fault is one fault of a history.
+type fault struct {
 	after time.Duration
 	kind  string
-	// machine is what it happens to; the one that holds the duties if holder is true.
+	// machine is the affected machine. If holder is true, the machine that holds the duties is affected instead.
 	machine string
 	holder  bool
 	length  time.Duration
 }
 
-func drawHistory(rt *rapid.T, machines []string) []event {
+func drawFaults(rt *rapid.T, machines []string) []fault {
 	kinds := []string{"freeze", "store_down", "platform_down", "store_cut", "platform_cut", "peers_cut", "kill", "leave", "lose", "step"}
 
-	return rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) event {
-		return event{
+	return rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) fault {
+		return fault{
 			after:   time.Duration(rapid.IntRange(0, 4_000).Draw(rt, "after_ms")) * time.Millisecond,
 			kind:    rapid.SampledFrom(kinds).Draw(rt, "kind"),
 			machine: rapid.SampledFrom(machines).Draw(rt, "machine"),
 			holder:  rapid.Bool().Draw(rt, "holder"),
-			length:  time.Duration(rapid.IntRange(1, int(longestFault.Milliseconds())).Draw(rt, "length_ms")) * time.Millisecond,
+			length:  time.Duration(rapid.IntRange(1, int(maxFaultLength.Milliseconds())).Draw(rt, "length_ms")) * time.Millisecond,
 		}
 	}), 1, 16).Draw(rt, "history")
 }
 
-// apply brings an event about.
-func (w *world) apply(ctx context.Context, e event, life string) {
-	m := w.machines[e.machine]
+// inject makes a fault happen.
+func (c *cluster) inject(ctx context.Context, e fault, incarnation string) {
+	m := c.machines[e.machine]
 	if e.holder {
-		m = w.holder(e.machine)
+		m = c.holder(e.machine)
 	}
 
 	until := time.Now().Add(e.length)
 	restart := func() {
 		time.AfterFunc(e.length, func() {
 			if ctx.Err() == nil {
-				m.begin(ctx, life)
+				m.start(ctx, incarnation)
 			}
 		})
 	}
 
 	switch e.kind {
 	case "kill", "leave":
-		m.end(e.kind == "kill")
+		m.stop(e.kind == "kill")
 		restart()
 	default:
-		w.mu.Lock()
-		defer w.mu.Unlock()
+		c.mu.Lock()
+		defer c.mu.Unlock()
 	}
 
 	switch e.kind {
 	case "freeze":
 		m.frozen = until
 	case "store_down":
-		w.storeDown = until
+		c.storeDown = until
 	case "platform_down":
-		w.platformDown = until
+		c.platformDown = until
 	case "store_cut":
 		m.storeCut = until
 	case "platform_cut":
@@ -75,45 +75,46 @@
 	case "peers_cut":
 		m.peersCut = until
 	case "lose":
-		m.losing, m.lateness = 3, e.length
+		m.lostWrites, m.writeDelay = 3, e.length
 	case "step":
-		m.step, m.stepped = 2*time.Second, until
+		m.clockOffset, m.clockOffsetUntil = 2*time.Second, until
 	}
 }
 
-// Guards against two holders of the duties at once, in any history of freezes, cuts, outages, lost answers and restarts.
+// Guards against two simultaneous holders of the duties, in any history of freezes, cuts, outages, lost answers and restarts.
 func TestOneHolderInAnyHistory(t *testing.T) {
 	machines := []string{"a", "b", "c", "d"}
 
 	rapid.Check(t, func(rt *rapid.T) {
-		history := drawHistory(rt, machines)
+		history := drawFaults(rt, machines)
 
 		var faults []string
 
-		play(t, func(_ *testing.T, ctx context.Context) {
-			w := newWorld(machines...)
+		runSimulation(t, func(_ *testing.T, ctx context.Context) {
+			c := newCluster(machines...)
 			for _, name := range machines {
-				w.machines[name].begin(ctx, name+".0")
+				c.machines[name].start(ctx, name+".0")
 			}
 
 			time.Sleep(2 * time.Second)
 
 			for i, e := range history {
-				w.serve(machines[i%len(machines)], "shop", i+1)
+				c.countRequests(machines[i%len(machines)], "shop", i+1)
 				time.Sleep(e.after)
-				w.apply(ctx, e, fmt.Sprintf("%s.%d", e.machine, i+1))
+				c.inject(ctx, e, fmt.Sprintf("%s.%d", e.machine, i+1))
 			}
 
-			// The longest fault ends, a term runs out, another is taken and settles, and the windows since become due.
-			time.Sleep(longestFault + 2*lease + 2*time.Second + 2*window + due)
+			// Wait until the longest fault is over, the term has expired, the next holder may make calls, and the reports of
+			// the windows since then are due.
+			time.Sleep(maxFaultLength + 2*lease + 2*time.Second + 2*window + reportDeadline)
 
-			w.mu.Lock()
-			defer w.mu.Unlock()
+			c.mu.Lock()
+			defer c.mu.Unlock()
 
-			faults = w.judge.faults
+			faults = c.checker.violations
 
-			for number := time.Now().Add(-window-due).UnixNano() / int64(window); number > time.Now().Add(-2*window-due).UnixNano()/int64(window); number-- {
-				if _, reported := w.judge.usage[number]; !reported {
+			for number := time.Now().Add(-window-reportDeadline).UnixNano() / int64(window); number > time.Now().Add(-2*window-reportDeadline).UnixNano()/int64(window); number-- {
+				if _, reported := c.checker.usage[number]; !reported {
 					faults = append(faults, fmt.Sprintf("window %d is not reported", number))
 				}
 			}
--- a/internal/gateway/leader/scaling.go
+++ b/internal/gateway/leader/scaling.go
@@ -11,87 +11,87 @@
 )
 
 const (
-	// planInterval is the time between two looks at what stands.
+	// planInterval is the time between two plans.
 	planInterval = 250 * time.Millisecond
-	// repeatInterval is the time after which an order that holds is sent once more.
-	repeatInterval = 10 * time.Second
-	// unavailablePause is how long an order isn't repeated for which none were available.
-	unavailablePause = time.Second
-	// failedPause is how long an order isn't repeated that the platform didn't answer well.
-	failedPause = time.Second
+	// resendInterval is the time after which an unchanged order is sent again.
+	resendInterval = 10 * time.Second
+	// unavailableDelay is the time until an order is sent again for which no upstreams were available.
+	unavailableDelay = time.Second
+	// failureDelay is the time until a failed order is sent again.
+	failureDelay = time.Second
 )
 
-// subject is what an order is about.
-type subject struct {
+// orderKey identifies the pool and the kind of upstreams that an order is for.
+type orderKey struct {
 	scaler.Pool
 	spot bool
 }
 
-// ordered is the last order of a subject and when it may be sent again.
-type ordered struct {
-	count int
-	next  time.Duration
+// sentOrder is the last order for a key and when it may be sent again.
+type sentOrder struct {
+	count    int
+	resendAt time.Duration
 }
 
-// orderUpstreams orders upstreams until ctx ends or the term is over.
-func (l *Leader) orderUpstreams(ctx context.Context, t *tenure) {
+// orderUpstreams orders upstreams until ctx is done or the term has ended.
+func (l *Leader) orderUpstreams(ctx context.Context, t *activeTerm) {
 	planner := scaler.New()
-	sent := make(map[subject]ordered)
+	sent := make(map[orderKey]sentOrder)
 
 	for ctx.Err() == nil && !t.Ended() {
-		l.planRound(ctx, t, planner, sent)
+		l.sendDueOrders(ctx, t, planner, sent)
 		sleeper.Sleep(ctx, planInterval)
 	}
 }
 
-// planRound looks at what stands and sends the orders that are due.
-func (l *Leader) planRound(ctx context.Context, t *tenure, planner *scaler.Planner, sent map[subject]ordered) {
-	policy, on := l.options.Policy()
+// sendDueOrders plans orders for the current upstreams and sends those that are due.
+func (l *Leader) sendDueOrders(ctx context.Context, t *activeTerm, planner *scaler.Planner, sent map[orderKey]sentOrder) {
+	policy, enabled := l.options.Policy()
 	state := l.options.State()
 
-	if !on || !state.HasConfiguration() || state.Registry.Revision == 0 {
+	if !enabled || !state.HasConfiguration() || state.Registry.Revision == 0 {
 		return
 	}
 
-	standing := scaler.CountUpstreams(state.Configuration.Services, state.Registry.Upstreams)
-	orders := planner.Plan(policy, state.Configuration.Services, standing)
-	l.status.plan(standing, orders)
+	sizes := scaler.CountUpstreams(state.Configuration.Services, state.Registry.Upstreams)
+	orders := planner.Plan(policy, state.Configuration.Services, sizes)
+	l.status.setPools(sizes, orders)
 
 	for _, order := range orders {
-		l.order(ctx, t, sent, order, standing[order.Pool])
+		l.sendOrder(ctx, t, sent, order, sizes[order.Pool])
 	}
 }
 
-// order sends an order unless it holds already.
-func (l *Leader) order(ctx context.Context, t *tenure, sent map[subject]ordered, order scaler.Order, standing scaler.PoolSize) {
-	about := subject{Pool: order.Pool, spot: order.Spot}
+// sendOrder sends an order unless the same one was sent recently.
+func (l *Leader) sendOrder(ctx context.Context, t *activeTerm, sent map[orderKey]sentOrder, order scaler.Order, size scaler.PoolSize) {
+	key := orderKey{Pool: order.Pool, spot: order.Spot}
 
-	last, known := sent[about]
-	if known && last.count == order.Count && l.options.Now() < last.next {
+	last, known := sent[key]
+	if known && last.count == order.Count && l.options.Now() < last.resendAt {
 		return
 	}
 
 	err := l.call(ctx, t, func(ctx context.Context) error {
 		return l.options.Platform.OrderUpstreams(ctx, t.authority, order)
 	})
-	if errors.Is(err, errNotYet) {
+	if errors.Is(err, errCallNotAllowed) {
 		return
 	}
 
-	line := l.options.Logger.Info()
-	next := l.options.Now() + repeatInterval
+	event := l.options.Logger.Info()
+	resendAt := l.options.Now() + resendInterval
 
 	switch {
 	case errors.Is(err, ErrUnavailable):
-		next = l.options.Now() + unavailablePause
+		resendAt = l.options.Now() + unavailableDelay
 	case err != nil:
-		line = l.options.Logger.Warn()
-		next = l.options.Now() + failedPause
+		event = l.options.Logger.Warn()
+		resendAt = l.options.Now() + failureDelay
 	}
 
-	sent[about] = ordered{count: order.Count, next: next}
+	sent[key] = sentOrder{count: order.Count, resendAt: resendAt}
 
-	line.AnErr("reason", err).Str("service", order.Service).Str("failure_domain", order.FailureDomain).
-		Bool("spot", order.Spot).Int("count", order.Count).Int("regular", standing.Regular).Int("spot_standing", standing.Spot).
-		Int("leaving", standing.Draining).Int64("number", t.Number).Msg("upstreams_ordered")
+	event.AnErr("reason", err).Str("service", order.Service).Str("failure_domain", order.FailureDomain).
+		Bool("spot", order.Spot).Int("count", order.Count).Int("regular", size.Regular).Int("spot_standing", size.Spot).
+		Int("leaving", size.Draining).Int64("number", t.Number).Msg("upstreams_ordered")
 }
--- a/internal/gateway/leader/status.go
+++ b/internal/gateway/leader/status.go
@@ -8,58 +8,58 @@
 	"quincepath.example/quincepath/internal/gateway/scaler"
 )
 
-// Status tells operators what this node does of the duties.
+// Status describes the duties of this node to operators.
 type Status struct {
-	// Holds says that this node holds the duties, under Number.
+	// Holds reports whether this node holds the duties. Number is the fencing number of its last term.
 	Holds  bool  `json:"holds"`
 	Number int64 `json:"number"`
-	// Since is when the last term of this process began; zero if it had none.
+	// Since is when the last term of this process started; zero if it had none.
 	Since time.Time `json:"since,omitzero"`
 	// Terms counts the terms of this process.
 	Terms int64            `json:"terms"`
 	Usage collector.Status `json:"usage"`
-	// Pools tell what stands and what is ordered; empty on nodes that don't hold the duties.
+	// Pools lists the current and ordered sizes of pools; empty on nodes that don't hold the duties.
 	Pools []PoolStatus `json:"pools,omitempty"`
 }
 
-// PoolStatus is a service in a failure domain.
+// PoolStatus holds the current and ordered sizes of a pool.
 type PoolStatus struct {
 	scaler.Pool
 	scaler.PoolSize
 
-	// OrderedRegular and OrderedSpot are the numbers that should stand; negative where none is ordered.
+	// OrderedRegular and OrderedSpot are the ordered numbers of upstreams; negative if there is no order.
 	OrderedRegular int `json:"ordered_regular"`
 	OrderedSpot    int `json:"ordered_spot"`
 }
 
-// status keeps a Status up to date. It is safe for concurrent use.
+// status maintains a Status. It is safe for concurrent use.
 type status struct {
 	mu      sync.Mutex
-	present Status
+	current Status
 }
 
-func (s *status) begin(number int64) {
+func (s *status) beginTerm(number int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
-	s.present.Holds, s.present.Number, s.present.Since = true, number, time.Now()
-	s.present.Terms++
+	s.current.Holds, s.current.Number, s.current.Since = true, number, time.Now()
+	s.current.Terms++
 }
 
-func (s *status) end() {
+func (s *status) endTerm() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
-	s.present.Holds, s.present.Pools = false, nil
+	s.current.Holds, s.current.Pools = false, nil
 }
 
-func (s *status) plan(standing map[scaler.Pool]scaler.PoolSize, orders []scaler.Order) {
+func (s *status) setPools(sizes map[scaler.Pool]scaler.PoolSize, orders []scaler.Order) {
 	var pools []PoolStatus
 
 	for _, order := range orders {
 		last := len(pools) - 1
 		if last < 0 || pools[last].Pool != order.Pool {
-			pools = append(pools, PoolStatus{Pool: order.Pool, PoolSize: standing[order.Pool], OrderedRegular: -1, OrderedSpot: -1})
+			pools = append(pools, PoolStatus{Pool: order.Pool, PoolSize: sizes[order.Pool], OrderedRegular: -1, OrderedSpot: -1})
 			last++
 		}
 
@@ -73,16 +73,16 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
-	s.present.Pools = pools
+	s.current.Pools = pools
 }
 
-// Status returns what this node does of the duties.
+// Status returns the status of the duties on this node.
 func (l *Leader) Status() Status {
 	l.status.mu.Lock()
-	present := l.status.present
+	current := l.status.current
 	l.status.mu.Unlock()
 
-	present.Usage = l.usage.Status()
+	current.Usage = l.usage.Status()
 
-	return present
+	return current
 }
--- a/internal/gateway/leader/usage.go
+++ b/internal/gateway/leader/usage.go
@@ -12,45 +12,45 @@
 )
 
 const (
-	// collectInterval is the time between two questions to all nodes. What a node counted since the last one is lost with it.
-	// It is longer where more than collectRate nodes would be asked in a second.
-	collectInterval = time.Second
-	collectRate     = 200
-	// collectTimeout bounds the answer of a node.
+	// collectInterval is the time between two collections from all nodes. What a node counted since the last one is lost if
+	// the node fails. The interval is extended so that at most maxNodesPerSecond nodes are asked per second.
+	collectInterval   = time.Second
+	maxNodesPerSecond = 200
+	// collectTimeout is the timeout of a collection from one node.
 	collectTimeout = 300 * time.Millisecond
-	// collectWorkers is the number of nodes that are asked at once.
+	// collectWorkers is the number of nodes that are asked concurrently.
 	collectWorkers = 32
-	// leastPause is the shortest time between two rounds.
-	leastPause = 50 * time.Millisecond
+	// minPause is the minimum time between two collections.
+	minPause = 50 * time.Millisecond
 )
 
-// reportUsage collects and reports usage until ctx ends or the term is over.
-func (l *Leader) reportUsage(ctx context.Context, t *tenure) {
+// reportUsage collects and reports usage until ctx is done or the term has ended.
+func (l *Leader) reportUsage(ctx context.Context, t *activeTerm) {
 	for ctx.Err() == nil && !t.Ended() {
-		l.usageRound(ctx, t)
+		l.collectAndReport(ctx, t)
 
-		pause := max(collectInterval, time.Duration(len(l.options.Nodes()))*time.Second/collectRate)
+		pause := max(collectInterval, time.Duration(len(l.options.Nodes()))*time.Second/maxNodesPerSecond)
 		if left, known := l.usage.UntilSettled(); known {
-			pause = max(min(pause, left), leastPause)
+			pause = max(min(pause, left), minPause)
 		}
 
 		sleeper.Sleep(ctx, pause)
 	}
 }
 
-func (l *Leader) usageRound(ctx context.Context, t *tenure) {
+func (l *Leader) collectAndReport(ctx context.Context, t *activeTerm) {
 	if !l.usage.Loaded() {
-		if err := l.withStore(ctx, l.usage.Load); err != nil {
+		if err := l.withStoreTimeout(ctx, l.usage.Load); err != nil {
 			l.options.Logger.Warn().Err(err).Msg("usage_not_read")
 		}
 	}
 
 	nodes := l.options.Nodes()
-	l.collect(ctx, nodes)
+	l.collectFromAll(ctx, nodes)
 	l.usage.UpdateTime(len(nodes))
 	l.usage.CloseWindows()
 
-	if err := l.withStore(ctx, l.usage.Save); err != nil {
+	if err := l.withStoreTimeout(ctx, l.usage.Save); err != nil {
 		l.options.Logger.Warn().Err(err).Msg("usage_not_kept")
 	}
 
@@ -59,7 +59,7 @@
 			return l.options.Platform.ReportUsage(ctx, t.authority, report.Window, report.Counts)
 		})
 		if err != nil {
-			if !errors.Is(err, errNotYet) {
+			if !errors.Is(err, errCallNotAllowed) {
 				l.options.Logger.Warn().Err(err).Int64("window", report.Window).Msg("usage_not_reported")
 			}
 
@@ -72,41 +72,41 @@
 	}
 }
 
-func (l *Leader) withStore(ctx context.Context, do func(ctx context.Context) error) error {
+func (l *Leader) withStoreTimeout(ctx context.Context, do func(ctx context.Context) error) error {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 
 	return do(ctx)
 }
 
-// collect asks all nodes for what they counted.
-func (l *Leader) collect(ctx context.Context, nodes []string) {
+// collectFromAll collects the counts of all nodes.
+func (l *Leader) collectFromAll(ctx context.Context, nodes []string) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 
-	questions := pond.NewPool(collectWorkers, pond.WithContext(ctx)).NewGroup()
+	requests := pond.NewPool(collectWorkers, pond.WithContext(ctx)).NewGroup()
 
 	for _, node := range nodes {
-		questions.Submit(func() { l.ask(ctx, node) })
+		requests.Submit(func() { l.collectFrom(ctx, node) })
 	}
 
-	// An error only says that ctx has ended.
-	_ = questions.Wait()
+	// The only possible error is that ctx is done.
+	_ = requests.Wait()
 }
 
-func (l *Leader) ask(ctx context.Context, node string) {
+func (l *Leader) collectFrom(ctx context.Context, node string) {
 	ctx, cancel := context.WithTimeout(ctx, collectTimeout)
 	defer cancel()
 
-	asked := l.options.Now()
+	askedAt := l.options.Now()
 
-	var answer tallier.CollectResult
+	var result tallier.CollectResult
 
-	if err := l.options.Peers.Call(ctx, node, tallier.MethodCollect, l.usage.CollectParams(node), &answer); err != nil {
+	if err := l.options.Peers.Call(ctx, node, tallier.MethodCollect, l.usage.CollectParams(node), &result); err != nil {
 		l.options.Logger.Debug().Err(err).Str("peer", node).Msg("usage_not_collected")
 
 		return
 	}
 
-	l.usage.AddResult(node, asked, answer)
+	l.usage.AddResult(node, askedAt, result)
 }
