--- a/internal/granter/faults_test.go
+++ b/internal/granter/faults_test.go
@@ -111,7 +111,7 @@
 // the time after which it resends, because its requests show that it is alive. In the
 // log this appeared as pool_rebuild_began each 5 s at a node with is_holder=false,
 // each followed by slots_withheld with free slots.
-func TestLostGrantIsRepeatedForTheNextRequest(t *testing.T) {
+func TestGrantThatDidNotArriveIsMadeGoodByTheNextAsk(t *testing.T) {
 	inVirtualTime(t, 3, 2, 4, fixedSlotOptions(), func(t *testing.T, ctx context.Context, n *network) {
 		time.Sleep(time.Second)
 
