--- a/internal/bencher/policy.go
+++ b/internal/bencher/policy.go
@@ -45,8 +45,8 @@
 }
 
 // ask returns what the entry node tells a policy.
-func (r *Request) ask(now time.Duration) dispatcher.Ask {
-	return dispatcher.Ask{
+func (r *Request) ask(now time.Duration) dispatcher.SlotRequest {
+	return dispatcher.SlotRequest{
 		RequestID:    r.ID,
 		Service:      r.Service.Name,
 		Class:        r.Class.Name,
--- a/internal/bencher/queue.go
+++ b/internal/bencher/queue.go
@@ -210,7 +210,7 @@
 	tick time.Time
 }
 
-func (p *heldPool) submit(r *Request, ask dispatcher.Ask) {
+func (p *heldPool) submit(r *Request, ask dispatcher.SlotRequest) {
 	p.carryOut(p.core.Submit(p.queue.world.clock.date(), scheduler.Request{
 		ID:           ask.RequestID,
 		Entry:        strconv.Itoa(r.Node),
--- a/internal/bencher/runner.go
+++ b/internal/bencher/runner.go
@@ -34,7 +34,7 @@
 	scenario Scenario
 	policy   Policy
 	// judges holds the retry rule of each entry node.
-	judges [nodes]dispatcher.Judge
+	judges [nodes]dispatcher.RetryPolicy
 	random *rand.Rand
 	// engines holds the fake servers by upstream name; names lists them by service in order.
 	engines map[string]*engine
@@ -209,7 +209,7 @@
 	q.queued = false
 
 	final := *reason
-	final.Ran = q.history.Verdict()
+	final.Ran = q.history.RanState()
 	r.final(q, &final)
 }
 
@@ -240,9 +240,9 @@
 
 	tried := dispatcher.Attempt{Number: q.number, Slot: a.slot, History: q.history}
 	next := r.judges[q.Node].Decide(q.dispatched(), tried, outcome, q.Progress)
-	q.history = q.history.After(outcome)
+	q.history = q.history.WithAttempt(outcome)
 
-	if !next.Again {
+	if !next.Retry {
 		r.final(q, next.Err)
 
 		return
--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -13,8 +13,8 @@
 	"quincepath.example/quincepath/pkg/classifier"
 )
 
-// Ask is what a request tells the holder of its pool to get a slot.
-type Ask struct {
+// SlotRequest is what a request tells the holder of its pool to get a slot.
+type SlotRequest struct {
 	RequestID string `json:"request_id"`
 	Service   string `json:"service"`
 	// Class and Organisation are names in the settings snapshot of the service.
@@ -96,10 +96,10 @@
 	Duration time.Duration
 	// Tokens is the number of tokens that this attempt delivered to the caller's answer.
 	Tokens int
-	// Wasted is the number of tokens that came and were not delivered, since another attempt owns the answer.
-	Wasted int
-	// Rest is for how long an upstream that refused the attempt wants no other from this node; 0 if it didn't say.
-	Rest time.Duration
+	// DiscardedTokens is the number of tokens that came and were not delivered, since another attempt owns the answer.
+	DiscardedTokens int
+	// RetryAfter is for how long an upstream that refused the attempt wants no other from this node; 0 if it didn't say.
+	RetryAfter time.Duration
 	// Err is the cause for the log, or nil.
 	Err error
 }
@@ -113,11 +113,11 @@
 	return (o.Duration - o.FirstToken) / time.Duration(o.Tokens-1)
 }
 
-// Slotter grants slots. Acquire waits for a grant, a refusal with a numbered
+// SlotGranter grants slots. Acquire waits for a grant, a refusal with a numbered
 // result, or the end of ctx; every granted slot is released exactly once.
-type Slotter interface {
-	Acquire(ctx context.Context, ask Ask) (Slot, error)
-	Release(slot Slot, ask Ask, outcome Outcome)
+type SlotGranter interface {
+	Acquire(ctx context.Context, ask SlotRequest) (Slot, error)
+	Release(slot Slot, ask SlotRequest, outcome Outcome)
 }
 
 // Sender sends one attempt of a request to an upstream and returns when the
@@ -144,22 +144,22 @@
 	claim func() bool
 }
 
-// Contested says whether another attempt may own the answer. Then nothing may be
-// added to the answer before Own.
-func (a Attempt) Contested() bool {
+// IsRacing says whether another attempt may own the answer. Then nothing may be
+// added to the answer before TryOwn.
+func (a Attempt) IsRacing() bool {
 	return a.claim != nil
 }
 
-// Own is called with the first token, or a whole plain answer, in hand. False means that
+// TryOwn is called with the first token, or a whole plain answer, in hand. False means that
 // another attempt delivered first; the sender then drops what it has and returns.
-func (a Attempt) Own() bool {
+func (a Attempt) TryOwn() bool {
 	return a.claim == nil || a.claim()
 }
 
-// Next is the decision after an attempt.
-type Next struct {
-	// Again asks for another attempt.
-	Again bool
+// RetryDecision is the decision after an attempt.
+type RetryDecision struct {
+	// Retry asks for another attempt.
+	Retry bool
 	// Exclude keeps the failed upstream out of later attempts.
 	Exclude bool
 	// Reason names the retry in counters and logs, such as "upstream_silent".
@@ -168,9 +168,9 @@
 	Err *classifier.Error
 }
 
-// Judge decides what follows an attempt.
-type Judge interface {
-	Decide(request Request, attempt Attempt, outcome Outcome, progress int) Next
+// RetryPolicy decides what follows an attempt.
+type RetryPolicy interface {
+	Decide(request Request, attempt Attempt, outcome Outcome, progress int) RetryDecision
 }
 
 // Request is one request with its resolved settings.
@@ -190,13 +190,13 @@
 
 // Observer is told of each attempt, for counters and logs.
 type Observer interface {
-	AttemptEnded(request Request, attempt Attempt, outcome Outcome, next Next)
+	AttemptEnded(request Request, attempt Attempt, outcome Outcome, next RetryDecision)
 }
 
 // Dispatcher runs requests. It is safe for concurrent use.
 type Dispatcher struct {
-	slotter  Slotter
-	judge    Judge
+	slotter  SlotGranter
+	judge    RetryPolicy
 	observer Observer
 	// hedger is nil when no request gets a second attempt beside the first.
 	hedger Hedger
@@ -206,7 +206,7 @@
 }
 
 // New returns a dispatcher over the given parts.
-func New(slotter Slotter, judge Judge, observer Observer) *Dispatcher {
+func New(slotter SlotGranter, judge RetryPolicy, observer Observer) *Dispatcher {
 	return &Dispatcher{slotter: slotter, judge: judge, observer: observer}
 }
 
@@ -257,11 +257,11 @@
 		next := d.judge.Decide(request, over.attempt, over.outcome, sender.Progress())
 		d.observer.AttemptEnded(request, over.attempt, over.outcome, next)
 
-		if !next.Again {
+		if !next.Retry {
 			return next.Err
 		}
 
-		history = over.attempt.History.After(over.outcome)
+		history = over.attempt.History.WithAttempt(over.outcome)
 		exclude = append(exclude, failed...)
 
 		if next.Exclude {
@@ -273,8 +273,8 @@
 // newAsk returns what the next attempt asks the holder for. Progress is the
 // number of tokens that the caller has; failed names the upstreams that failed
 // the request, the latest last.
-func newAsk(request Request, progress int, failed []string) Ask {
-	return Ask{
+func newAsk(request Request, progress int, failed []string) SlotRequest {
+	return SlotRequest{
 		RequestID:    request.ID,
 		Service:      request.Service.Name,
 		Class:        request.Class.Name,
@@ -326,8 +326,8 @@
 // run, could not be sent again, and its caller would get no answer at all.
 func (d *Dispatcher) send(ctx context.Context, request Request, sender Sender, attempt Attempt) Outcome {
 	outcome := d.sendUntilPreempted(ctx, request, sender, attempt)
-	if outcome.Rest > 0 {
-		d.rests.note(time.Now(), attempt.Slot.Upstream.Address, outcome.Rest)
+	if outcome.RetryAfter > 0 {
+		d.rests.note(time.Now(), attempt.Slot.Upstream.Address, outcome.RetryAfter)
 	}
 
 	return outcome
@@ -368,7 +368,7 @@
 // restingError ends a request whose slots were all at upstreams that rest.
 func restingError(history History, left time.Duration) *classifier.Error {
 	failure := classifier.New(classifier.NoUpstream, "the upstreams want no requests now").After(left)
-	failure.Ran = history.Verdict()
+	failure.Ran = history.RanState()
 
 	return failure
 }
@@ -378,13 +378,13 @@
 func acquireError(ctx context.Context, err error, history History) *classifier.Error {
 	if ctx.Err() != nil {
 		gone := classifier.Wrap(err, classifier.CallerGone, "the caller left while the request waited")
-		gone.Ran = history.Verdict()
+		gone.Ran = history.RanState()
 
 		return gone
 	}
 
 	final := *classifier.From(err)
-	final.Ran = history.Verdict()
+	final.Ran = history.RanState()
 
 	return &final
 }
--- a/internal/dispatcher/hedging.go
+++ b/internal/dispatcher/hedging.go
@@ -11,22 +11,22 @@
 
 // Hedger decides when a slow request deserves a second attempt beside the first.
 type Hedger interface {
-	// After returns how long to wait for the first token, or a plain answer; false means never to hedge.
-	After(service string, class configurer.Class) (time.Duration, bool)
+	// Delay returns how long to wait for the first token, or a plain answer; false means never to hedge.
+	Delay(service string, class configurer.Class) (time.Duration, bool)
 	// Spend pays for a second attempt right before it is sent; false means that the budget is empty.
 	Spend(now time.Time, service string, class configurer.Class) bool
 	// Observe takes the time that a request's first attempt needed, or at least needed when it was superseded.
 	Observe(now time.Time, service string, class configurer.Class, firstToken time.Duration)
 }
 
-// HedgeBy lets slow requests have a second attempt. Call it before the first request.
-func (d *Dispatcher) HedgeBy(hedger Hedger) {
+// SetHedger lets slow requests have a second attempt. Call it before the first request.
+func (d *Dispatcher) SetHedger(hedger Hedger) {
 	d.hedger = hedger
 }
 
 // step sends one attempt, or two at once, releases their slots, and returns the
 // one attempt that the judge is to see, with the upstreams of another that failed.
-func (d *Dispatcher) step(ctx context.Context, request Request, sender Sender, first Attempt, ask Ask) (ended, []string) {
+func (d *Dispatcher) step(ctx context.Context, request Request, sender Sender, first Attempt, ask SlotRequest) (ended, []string) {
 	after, ok := d.hedgeAfter(request, first)
 	if !ok {
 		outcome := d.send(ctx, request, sender, first)
@@ -59,7 +59,7 @@
 		return 0, false
 	}
 
-	return d.hedger.After(request.Service.Name, request.Class)
+	return d.hedger.Delay(request.Service.Name, request.Class)
 }
 
 // observe tells the hedger how long a first attempt took. One that was
@@ -139,7 +139,7 @@
 }
 
 // launch sends an attempt in the background. It returns false when the answer has an owner already.
-func (r *race) launch(ctx context.Context, attempt Attempt, ask Ask) bool {
+func (r *race) launch(ctx context.Context, attempt Attempt, ask SlotRequest) bool {
 	attempt.claim = func() bool { return r.own(attempt.Number) }
 	attemptContext, cancel := context.WithCancel(ctx)
 
@@ -173,9 +173,9 @@
 
 // finish releases the slot of an attempt at once, whatever the other does. The
 // end of a superseded attempt says nothing of its upstream: it was cancelled here.
-func (r *race) finish(attempt Attempt, ask Ask, outcome Outcome) ended {
+func (r *race) finish(attempt Attempt, ask SlotRequest, outcome Outcome) ended {
 	if r.lost(attempt.Number) {
-		outcome = Outcome{Result: ResultSuperseded, Duration: outcome.Duration, Wasted: outcome.Wasted, Err: outcome.Err}
+		outcome = Outcome{Result: ResultSuperseded, Duration: outcome.Duration, DiscardedTokens: outcome.DiscardedTokens, Err: outcome.Err}
 	}
 
 	r.dispatcher.slotter.Release(attempt.Slot, ask, outcome)
@@ -187,7 +187,7 @@
 
 // hedge sends a second attempt when the first has brought nothing in time, a
 // slot is free and the budget pays. It returns as soon as that is settled.
-func (r *race) hedge(ctx context.Context, after time.Duration, first Attempt, ask Ask) {
+func (r *race) hedge(ctx context.Context, after time.Duration, first Attempt, ask SlotRequest) {
 	timer := time.NewTimer(after)
 	defer timer.Stop()
 
@@ -221,7 +221,7 @@
 }
 
 // acquire asks for a second slot and gives the ask up once the first attempt delivers or ends.
-func (r *race) acquire(ctx context.Context, ask Ask) (Slot, bool) {
+func (r *race) acquire(ctx context.Context, ask SlotRequest) (Slot, bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 
@@ -296,8 +296,8 @@
 
 	for _, other := range others {
 		stands.last = max(stands.last, other.last)
-		stands.attempt.History = stands.attempt.History.Beside(other.outcome)
-		r.dispatcher.observer.AttemptEnded(r.request, other.attempt, other.outcome, Next{Reason: other.outcome.Result.String()})
+		stands.attempt.History = stands.attempt.History.WithConcurrentAttempt(other.outcome)
+		r.dispatcher.observer.AttemptEnded(r.request, other.attempt, other.outcome, RetryDecision{Reason: other.outcome.Result.String()})
 
 		if other.outcome.Result != ResultSuperseded && other.outcome.Result != ResultPreempted {
 			exclude = append(exclude, other.attempt.Slot.Upstream.Name)
--- a/internal/dispatcher/history.go
+++ b/internal/dispatcher/history.go
@@ -15,8 +15,8 @@
 	Ran bool
 }
 
-// After returns the history with one more attempt.
-func (h History) After(outcome Outcome) History {
+// WithAttempt returns the history with one more attempt.
+func (h History) WithAttempt(outcome Outcome) History {
 	if outcome.Result != ResultNotSent {
 		h.Reached++
 	}
@@ -31,19 +31,19 @@
 	return h
 }
 
-// Beside returns the history with an attempt that ran at the same time as the
+// WithConcurrentAttempt returns the history with an attempt that ran at the same time as the
 // one that stands for both. It changes what may have run, and is not counted.
-func (h History) Beside(outcome Outcome) History {
-	h.Ran = h.Ran || outcome.Tokens > 0 || outcome.Wasted > 0
+func (h History) WithConcurrentAttempt(outcome Outcome) History {
+	h.Ran = h.Ran || outcome.Tokens > 0 || outcome.DiscardedTokens > 0
 	h.MayHaveRun = h.MayHaveRun || h.Ran || outcome.Result.mayHaveRun()
 
 	return h
 }
 
-// Verdict says what a final answer may claim. "Not run" needs every attempt to
+// RanState says what a final answer may claim. "Not run" needs every attempt to
 // be surely not run: a later attempt that was refused doesn't undo an earlier
 // one that broke off.
-func (h History) Verdict() classifier.Ran {
+func (h History) RanState() classifier.Ran {
 	switch {
 	case h.Ran:
 		return classifier.RanYes
--- a/internal/dispatcher/preemption_test.go
+++ b/internal/dispatcher/preemption_test.go
@@ -15,14 +15,14 @@
 // preempting grants slots that are taken back after a second.
 type preempting struct{ results []Result }
 
-func (p *preempting) Acquire(context.Context, Ask) (Slot, error) {
+func (p *preempting) Acquire(context.Context, SlotRequest) (Slot, error) {
 	preempted := make(chan struct{})
 	time.AfterFunc(time.Second, func() { close(preempted) })
 
 	return Slot{Upstream: configurer.Upstream{Name: "u"}, Preempted: preempted}, nil
 }
 
-func (p *preempting) Release(Slot, Ask, Outcome) {}
+func (p *preempting) Release(Slot, SlotRequest, Outcome) {}
 
 func (p *preempting) Progress() int { return 0 }
 
@@ -35,13 +35,13 @@
 	}
 }
 
-func (p *preempting) Decide(_ Request, _ Attempt, outcome Outcome, _ int) Next {
+func (p *preempting) Decide(_ Request, _ Attempt, outcome Outcome, _ int) RetryDecision {
 	p.results = append(p.results, outcome.Result)
 
-	return Next{Again: outcome.Result == ResultPreempted && len(p.results) < 2}
+	return RetryDecision{Retry: outcome.Result == ResultPreempted && len(p.results) < 2}
 }
 
-func (p *preempting) AttemptEnded(Request, Attempt, Outcome, Next) {}
+func (p *preempting) AttemptEnded(Request, Attempt, Outcome, RetryDecision) {}
 
 // Symptom: a booking gets no answer, and nobody can tell whether it was made.
 // Sequence: its slot is taken back for a higher tier while the service works on it.
@@ -76,6 +76,6 @@
 	assert.Equal(t, failure.Code, classifier.CallerGone)
 	assert.Equal(t, failure.Ran, classifier.RanNo)
 
-	failed := History{}.After(Outcome{Result: ResultFailed})
+	failed := History{}.WithAttempt(Outcome{Result: ResultFailed})
 	assert.Equal(t, acquireError(gone, gone.Err(), failed).Ran, classifier.RanUnknown)
 }
--- a/internal/dispatcher/quarantine.go
+++ b/internal/dispatcher/quarantine.go
@@ -15,8 +15,8 @@
 	Ended(request Request, attempt Attempt, outcome Outcome)
 }
 
-// QuarantineBy keeps requests from running that crash upstreams. Call it before the first request.
-func (d *Dispatcher) QuarantineBy(quarantine Quarantine) {
+// SetQuarantine keeps requests from running that crash upstreams. Call it before the first request.
+func (d *Dispatcher) SetQuarantine(quarantine Quarantine) {
 	d.quarantine = quarantine
 }
 
@@ -36,7 +36,7 @@
 		return nil
 	}
 
-	if ran := history.Verdict(); ran != classifier.RanNo {
+	if ran := history.RanState(); ran != classifier.RanNo {
 		failure := classifier.New(classifier.UpstreamFailed, "upstreams crashed while they ran the request")
 		failure.Ran = ran
 
--- a/internal/dispatcher/world_test.go
+++ b/internal/dispatcher/world_test.go
@@ -50,12 +50,12 @@
 	sent     []dispatcher.Attempt
 	observed []dispatcher.Outcome
 	decided  int
-	judge    dispatcher.Judge
+	judge    dispatcher.RetryPolicy
 	// quarantine is nil when every request may run.
 	quarantine dispatcher.Quarantine
 }
 
-func (w *world) Acquire(ctx context.Context, ask dispatcher.Ask) (dispatcher.Slot, error) {
+func (w *world) Acquire(ctx context.Context, ask dispatcher.SlotRequest) (dispatcher.Slot, error) {
 	if ask.Spare && !w.spare {
 		return dispatcher.Slot{}, classifier.New(classifier.NoUpstream, "no slot is free")
 	}
@@ -88,7 +88,7 @@
 	return dispatcher.Slot{}, classifier.New(classifier.NoUpstream, "none is left")
 }
 
-func (w *world) Release(slot dispatcher.Slot, _ dispatcher.Ask, outcome dispatcher.Outcome) {
+func (w *world) Release(slot dispatcher.Slot, _ dispatcher.SlotRequest, outcome dispatcher.Outcome) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 
@@ -135,8 +135,8 @@
 		return dispatcher.Outcome{Result: s.result}
 	}
 
-	if !attempt.Own() {
-		return dispatcher.Outcome{Result: dispatcher.ResultFailed, Wasted: 1}
+	if !attempt.TryOwn() {
+		return dispatcher.Outcome{Result: dispatcher.ResultFailed, DiscardedTokens: 1}
 	}
 
 	outcome := dispatcher.Outcome{FirstToken: s.first}
@@ -164,13 +164,13 @@
 	return outcome
 }
 
-func (w *world) Decide(request dispatcher.Request, attempt dispatcher.Attempt, outcome dispatcher.Outcome, progress int) dispatcher.Next {
+func (w *world) Decide(request dispatcher.Request, attempt dispatcher.Attempt, outcome dispatcher.Outcome, progress int) dispatcher.RetryDecision {
 	w.decided++
 
 	return w.judge.Decide(request, attempt, outcome, progress)
 }
 
-func (w *world) AttemptEnded(_ dispatcher.Request, _ dispatcher.Attempt, outcome dispatcher.Outcome, _ dispatcher.Next) {
+func (w *world) AttemptEnded(_ dispatcher.Request, _ dispatcher.Attempt, outcome dispatcher.Outcome, _ dispatcher.RetryDecision) {
 	w.observed = append(w.observed, outcome)
 }
 
@@ -193,10 +193,10 @@
 	w.released = make(map[string][]dispatcher.Outcome)
 
 	d := dispatcher.New(w, w, w)
-	d.HedgeBy(hedger)
+	d.SetHedger(hedger)
 
 	if w.quarantine != nil {
-		d.QuarantineBy(w.quarantine)
+		d.SetQuarantine(w.quarantine)
 	}
 
 	return d.Run(ctx, dispatcher.Request{
--- a/internal/granter/network_test.go
+++ b/internal/granter/network_test.go
@@ -83,11 +83,11 @@
 // firstServer stands in place of the baseline policy.
 type firstServer struct{}
 
-func (firstServer) Acquire(context.Context, dispatcher.Ask) (dispatcher.Slot, error) {
+func (firstServer) Acquire(context.Context, dispatcher.SlotRequest) (dispatcher.Slot, error) {
 	return dispatcher.Slot{ID: "x", Upstream: configurer.Upstream{Name: "e01"}, Priority: 1}, nil
 }
 
-func (firstServer) Release(dispatcher.Slot, dispatcher.Ask, dispatcher.Outcome) {}
+func (firstServer) Release(dispatcher.Slot, dispatcher.SlotRequest, dispatcher.Outcome) {}
 
 func newNetwork(ctx context.Context, nodes int, s configurer.Service, options Options) *network {
 	n := &network{
@@ -251,7 +251,7 @@
 // run carries one request through a node and returns how long it waited for its slot.
 func (n *node) run(ctx context.Context, class string, duration time.Duration) (time.Duration, error) {
 	started := time.Now()
-	ask := dispatcher.Ask{RequestID: "r", Service: "assistente", Class: class, Organisation: "a", Repeatable: !n.once}
+	ask := dispatcher.SlotRequest{RequestID: "r", Service: "assistente", Class: class, Organisation: "a", Repeatable: !n.once}
 
 	slot, err := n.router.Acquire(ctx, ask)
 	waited := time.Since(started)
--- a/internal/granter/pending.go
+++ b/internal/granter/pending.go
@@ -32,7 +32,7 @@
 	result chan decision
 }
 
-func (r *Router) begin(ask dispatcher.Ask, service configurer.Service) *pending {
+func (r *Router) begin(ask dispatcher.SlotRequest, service configurer.Service) *pending {
 	id := askID(r.options.Node, r.options.Incarnation, r.number.Add(1))
 	part := r.partFor(&ask, service, id)
 	now := time.Now()
@@ -73,7 +73,7 @@
 // earlier attempt, is not preferred: one caller that sends all to this node
 // would wait here while other pools are idle, and an attempt after a failure
 // would meet the same servers again.
-func (r *Router) partFor(ask *dispatcher.Ask, service configurer.Service, askID string) int {
+func (r *Router) partFor(ask *dispatcher.SlotRequest, service configurer.Service, askID string) int {
 	count := poolCount(service)
 	if count == 1 {
 		return 0
--- a/internal/granter/prefixes_test.go
+++ b/internal/granter/prefixes_test.go
@@ -33,7 +33,7 @@
 	options.Pool.CacheHints = hintsFor{upstream: "e03", prefix: 7}
 
 	inVirtualTime(t, 3, 4, 2, options, func(t *testing.T, ctx context.Context, n *network) {
-		ask := dispatcher.Ask{Service: "assistente", Class: "chat", Organisation: "a", Repeatable: true, Prefixes: []uint64{7}}
+		ask := dispatcher.SlotRequest{Service: "assistente", Class: "chat", Organisation: "a", Repeatable: true, Prefixes: []uint64{7}}
 		slot, err := n.other().router.Acquire(ctx, ask)
 		assert.NilError(t, err)
 		assert.Equal(t, slot.Upstream.Name, "e03")
--- a/internal/granter/router.go
+++ b/internal/granter/router.go
@@ -20,14 +20,14 @@
 	noHolderWait = 2 * time.Second
 )
 
-// Router implements dispatcher.Slotter for the requests of this node: it asks
+// Router implements dispatcher.SlotGranter for the requests of this node: it asks
 // the holder of the pool and, while that is silent, goes without. It is safe for concurrent use.
 type Router struct {
 	ctx       context.Context
 	settings  Snapshotter
 	members   Members
 	caller    Caller
-	fallback  dispatcher.Slotter
+	fallback  dispatcher.SlotGranter
 	holder    *Holder
 	options   Options
 	placement *placement
@@ -52,7 +52,7 @@
 
 // NewRouter returns the router of a node whose own pools are run by holder.
 // Fallback grants slots while no holder answers. Its work ends with ctx.
-func NewRouter(ctx context.Context, holder *Holder, fallback dispatcher.Slotter, settings Snapshotter, members Members, caller Caller, options Options) *Router {
+func NewRouter(ctx context.Context, holder *Holder, fallback dispatcher.SlotGranter, settings Snapshotter, members Members, caller Caller, options Options) *Router {
 	r := &Router{
 		ctx:       ctx,
 		settings:  settings,
@@ -75,8 +75,8 @@
 	return r
 }
 
-// Acquire implements dispatcher.Slotter.
-func (r *Router) Acquire(ctx context.Context, ask dispatcher.Ask) (dispatcher.Slot, error) {
+// Acquire implements dispatcher.SlotGranter.
+func (r *Router) Acquire(ctx context.Context, ask dispatcher.SlotRequest) (dispatcher.Slot, error) {
 	service, ok := r.settings.Snapshot().Services[ask.Service]
 	if !ok {
 		return dispatcher.Slot{}, classifier.New(classifier.UnknownService, "service %q left the settings tree", ask.Service)
@@ -192,7 +192,7 @@
 // goWithout is for an ask whose holder is silent. Tier 1 goes at once to the
 // best upstream that the fallback knows; lower tiers go within the share that
 // this node lately had of the pool. Otherwise ok is false and the ask stays.
-func (r *Router) goWithout(ctx context.Context, p *pending, ask dispatcher.Ask) (slot dispatcher.Slot, ok bool, err error) {
+func (r *Router) goWithout(ctx context.Context, p *pending, ask dispatcher.SlotRequest) (slot dispatcher.Slot, ok bool, err error) {
 	if p.class.Tier != topTier && p.class.MaxWait > 0 && time.Since(p.began) >= p.class.MaxWait {
 		if !r.withdraw(p) {
 			return dispatcher.Slot{}, false, nil
@@ -242,8 +242,8 @@
 	return dispatcher.Slot{ID: d.GrantID, Upstream: upstream, Priority: d.Priority, Preempted: f.preempted}, nil
 }
 
-// Release implements dispatcher.Slotter.
-func (r *Router) Release(slot dispatcher.Slot, ask dispatcher.Ask, outcome dispatcher.Outcome) {
+// Release implements dispatcher.SlotGranter.
+func (r *Router) Release(slot dispatcher.Slot, ask dispatcher.SlotRequest, outcome dispatcher.Outcome) {
 	r.mu.Lock()
 	f := r.flights[slot.ID]
 	delete(r.flights, slot.ID)
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -73,8 +73,8 @@
 	p.loads[address] = load
 }
 
-// Acquire implements dispatcher.Slotter. It chooses an upstream at once and never waits.
-func (p *PowerOfTwo) Acquire(_ context.Context, ask dispatcher.Ask) (dispatcher.Slot, error) {
+// Acquire implements dispatcher.SlotGranter. It chooses an upstream at once and never waits.
+func (p *PowerOfTwo) Acquire(_ context.Context, ask dispatcher.SlotRequest) (dispatcher.Slot, error) {
 	service, ok := p.settings.Snapshot().Services[ask.Service]
 	if !ok {
 		return dispatcher.Slot{}, classifier.New(classifier.UnknownService, "service %q left the settings tree", ask.Service)
@@ -98,8 +98,8 @@
 	return dispatcher.Slot{ID: ask.RequestID, Upstream: chosen, Priority: service.Classes[ask.Class].Tier}, nil
 }
 
-// Release implements dispatcher.Slotter. It ends the count of a request as in flight.
-func (p *PowerOfTwo) Release(slot dispatcher.Slot, _ dispatcher.Ask, _ dispatcher.Outcome) {
+// Release implements dispatcher.SlotGranter. It ends the count of a request as in flight.
+func (p *PowerOfTwo) Release(slot dispatcher.Slot, _ dispatcher.SlotRequest, _ dispatcher.Outcome) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
--- a/internal/retrier/hedger.go
+++ b/internal/retrier/hedger.go
@@ -79,9 +79,9 @@
 	c.times.Reset()
 }
 
-// After returns how long to wait for the first token before a second copy may
+// Delay returns how long to wait for the first token before a second copy may
 // be sent, and false when the class is not hedged or too little is known of it.
-func (h *Hedger) After(service string, class configurer.Class) (time.Duration, bool) {
+func (h *Hedger) Delay(service string, class configurer.Class) (time.Duration, bool) {
 	if !mayHedge(class) {
 		return 0, false
 	}
--- a/internal/retrier/hedger_test.go
+++ b/internal/retrier/hedger_test.go
@@ -23,12 +23,12 @@
 
 	observe(class, hedgeSamples-1)
 
-	_, ok := h.After("banco", class)
+	_, ok := h.Delay("banco", class)
 	assert.Assert(t, !ok, "too little is known")
 
 	observe(class, 1)
 
-	after, ok := h.After("banco", class)
+	after, ok := h.Delay("banco", class)
 	assert.Assert(t, ok)
 	assert.Assert(t, after >= 90*time.Millisecond && after <= 105*time.Millisecond, "%s", after)
 
@@ -38,7 +38,7 @@
 	} {
 		observe(other, 2*hedgeSamples)
 
-		_, ok := h.After("banco", other)
+		_, ok := h.Delay("banco", other)
 		assert.Assert(t, !ok && !h.Spend(start, "banco", other), name)
 	}
 
--- a/internal/retrier/restart_test.go
+++ b/internal/retrier/restart_test.go
@@ -32,10 +32,10 @@
 
 		for range 20 {
 			attempt := dispatcher.Attempt{Number: 1}
-			for node.Decide(request, attempt, failed, 0).Again {
+			for node.Decide(request, attempt, failed, 0).Retry {
 				extra++
 				attempt.Number++
-				attempt.History = attempt.History.After(failed)
+				attempt.History = attempt.History.WithAttempt(failed)
 			}
 		}
 	}
--- a/internal/retrier/retrier.go
+++ b/internal/retrier/retrier.go
@@ -71,7 +71,7 @@
 	return o
 }
 
-// Retrier implements dispatcher.Judge. It is safe for concurrent use.
+// Retrier implements dispatcher.RetryPolicy. It is safe for concurrent use.
 type Retrier struct {
 	options  Options
 	budget   *Budget
@@ -95,10 +95,10 @@
 	return r.counters.snapshot()
 }
 
-// Decide implements dispatcher.Judge. Progress above zero makes the next
+// Decide implements dispatcher.RetryPolicy. Progress above zero makes the next
 // attempt a resume: the dispatcher hands it on as the offset.
-func (r *Retrier) Decide(request dispatcher.Request, attempt dispatcher.Attempt, outcome dispatcher.Outcome, progress int) dispatcher.Next {
-	history := attempt.History.After(outcome)
+func (r *Retrier) Decide(request dispatcher.Request, attempt dispatcher.Attempt, outcome dispatcher.Outcome, progress int) dispatcher.RetryDecision {
+	history := attempt.History.WithAttempt(outcome)
 	pair := Pair{Service: request.Service.Name, Class: request.Class.Name}
 
 	if attempt.History.Reached == 0 && history.Reached == 1 {
@@ -172,34 +172,34 @@
 	return min(max(outcome.FirstToken.Seconds()/outcome.Duration.Seconds(), leastCost), fullCost)
 }
 
-func (r *Retrier) again(outcome dispatcher.Outcome, progress int) dispatcher.Next {
+func (r *Retrier) again(outcome dispatcher.Outcome, progress int) dispatcher.RetryDecision {
 	why := retryReason(outcome.Result, progress > 0)
 	r.counters.add(why)
 
-	return dispatcher.Next{
-		Again: true,
+	return dispatcher.RetryDecision{
+		Retry: true,
 		// The upstream of a preempted attempt did not fail and may still cache the prompt.
 		Exclude: outcome.Result != dispatcher.ResultPreempted,
 		Reason:  why.String(),
 	}
 }
 
-func (r *Retrier) end(request dispatcher.Request, outcome dispatcher.Outcome, history dispatcher.History, progress int, why reason) dispatcher.Next {
+func (r *Retrier) end(request dispatcher.Request, outcome dispatcher.Outcome, history dispatcher.History, progress int, why reason) dispatcher.RetryDecision {
 	r.counters.add(why)
 
 	if why == endDone {
-		return dispatcher.Next{}
+		return dispatcher.RetryDecision{}
 	}
 
 	code := endCode(why, outcome.Result, progress)
 	final := classifier.Wrap(outcome.Err, code, "the last attempt ended as %s: %s", outcome.Result, why)
-	final.Ran = history.Verdict()
+	final.Ran = history.RanState()
 
 	if why != endRejected && why != endCallerGone {
 		final.RetryAfter = r.retryAfter(request.ID)
 	}
 
-	return dispatcher.Next{Reason: why.String(), Err: final}
+	return dispatcher.RetryDecision{Reason: why.String(), Err: final}
 }
 
 func (r *Retrier) retryAfter(requestID string) time.Duration {
--- a/internal/retrier/retrier_test.go
+++ b/internal/retrier/retrier_test.go
@@ -34,7 +34,7 @@
 	tokens   int
 }
 
-func (s *script) Acquire(_ context.Context, ask dispatcher.Ask) (dispatcher.Slot, error) {
+func (s *script) Acquire(_ context.Context, ask dispatcher.SlotRequest) (dispatcher.Slot, error) {
 	for i := range s.pool {
 		name := fmt.Sprintf("u%02d", i)
 		if !slices.Contains(ask.Exclude, name) {
@@ -45,7 +45,7 @@
 	return dispatcher.Slot{}, s.refusal
 }
 
-func (s *script) Release(dispatcher.Slot, dispatcher.Ask, dispatcher.Outcome) {}
+func (s *script) Release(dispatcher.Slot, dispatcher.SlotRequest, dispatcher.Outcome) {}
 
 func (s *script) Progress() int { return s.tokens }
 
@@ -62,10 +62,10 @@
 	return outcome
 }
 
-func (s *script) AttemptEnded(dispatcher.Request, dispatcher.Attempt, dispatcher.Outcome, dispatcher.Next) {
+func (s *script) AttemptEnded(dispatcher.Request, dispatcher.Attempt, dispatcher.Outcome, dispatcher.RetryDecision) {
 }
 
-func (s *script) run(judge dispatcher.Judge, repeatable bool) *classifier.Error {
+func (s *script) run(judge dispatcher.RetryPolicy, repeatable bool) *classifier.Error {
 	request := dispatcher.Request{
 		ID:         "r",
 		Service:    configurer.Service{Name: "assistente"},
--- a/internal/server/accounting.go
+++ b/internal/server/accounting.go
@@ -16,7 +16,7 @@
 }
 
 // AttemptEnded implements dispatcher.Observer: it counts and logs one attempt.
-func (n *Node) AttemptEnded(request dispatcher.Request, attempt dispatcher.Attempt, outcome dispatcher.Outcome, next dispatcher.Next) {
+func (n *Node) AttemptEnded(request dispatcher.Request, attempt dispatcher.Attempt, outcome dispatcher.Outcome, next dispatcher.RetryDecision) {
 	if run, ok := n.runs.find(request.ID); ok {
 		run.note(attempt, outcome)
 	}
@@ -24,7 +24,7 @@
 	source := ejector.Source{Service: request.Service.Name, Upstream: attempt.Slot.Upstream.Name, Class: request.Class.Name}
 	n.ejector.Observe(time.Now(), source, outcome)
 
-	if next.Again {
+	if next.Retry {
 		n.meter.Retried(counterName(request), next.Reason)
 	}
 
@@ -56,7 +56,7 @@
 	}
 
 	if outcome.Result == dispatcher.ResultSuperseded {
-		n.meter.Superseded(counterName(request), outcome.Wasted)
+		n.meter.Superseded(counterName(request), outcome.DiscardedTokens)
 	}
 }
 
--- a/internal/server/engine.go
+++ b/internal/server/engine.go
@@ -157,17 +157,17 @@
 
 	defer reader.Stop()
 
-	pump := &eventPump{sender: s, attempt: attempt, owned: !attempt.Contested(), started: started}
+	pump := &eventPump{sender: s, attempt: attempt, owned: !attempt.IsRacing(), started: started}
 	err := s.exchange(ctx, attempt, reader, pump)
 
 	outcome := dispatcher.Outcome{
-		Result:     sendResult(ctx, err, reader),
-		FirstToken: pump.firstToken,
-		Duration:   time.Since(started),
-		Tokens:     pump.delivered,
-		Wasted:     pump.wasted,
-		Rest:       forwarder.RestIn(err),
-		Err:        err,
+		Result:          sendResult(ctx, err, reader),
+		FirstToken:      pump.firstToken,
+		Duration:        time.Since(started),
+		Tokens:          pump.delivered,
+		DiscardedTokens: pump.wasted,
+		RetryAfter:      forwarder.RestIn(err),
+		Err:             err,
 	}
 	leaveIdleAfter(outcome, s.client)
 
--- a/internal/server/engine_stream.go
+++ b/internal/server/engine_stream.go
@@ -114,7 +114,7 @@
 		return false, nil
 	}
 
-	if !p.attempt.Own() {
+	if !p.attempt.TryOwn() {
 		if token {
 			p.wasted++
 		}
--- a/internal/server/hedge_test.go
+++ b/internal/server/hedge_test.go
@@ -30,7 +30,7 @@
 	released map[string]dispatcher.Outcome
 }
 
-func (h *hedgingParts) Acquire(ctx context.Context, ask dispatcher.Ask) (dispatcher.Slot, error) {
+func (h *hedgingParts) Acquire(ctx context.Context, ask dispatcher.SlotRequest) (dispatcher.Slot, error) {
 	for i, upstream := range h.upstreams {
 		if !slices.Contains(ask.Exclude, upstream.Name) {
 			if i > 0 {
@@ -51,21 +51,21 @@
 	}
 }
 
-func (h *hedgingParts) Release(slot dispatcher.Slot, _ dispatcher.Ask, outcome dispatcher.Outcome) {
+func (h *hedgingParts) Release(slot dispatcher.Slot, _ dispatcher.SlotRequest, outcome dispatcher.Outcome) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 
 	h.released[slot.ID] = outcome
 }
 
-func (h *hedgingParts) Decide(dispatcher.Request, dispatcher.Attempt, dispatcher.Outcome, int) dispatcher.Next {
-	return dispatcher.Next{}
+func (h *hedgingParts) Decide(dispatcher.Request, dispatcher.Attempt, dispatcher.Outcome, int) dispatcher.RetryDecision {
+	return dispatcher.RetryDecision{}
 }
 
-func (h *hedgingParts) AttemptEnded(dispatcher.Request, dispatcher.Attempt, dispatcher.Outcome, dispatcher.Next) {
+func (h *hedgingParts) AttemptEnded(dispatcher.Request, dispatcher.Attempt, dispatcher.Outcome, dispatcher.RetryDecision) {
 }
 
-func (h *hedgingParts) After(string, configurer.Class) (time.Duration, bool) {
+func (h *hedgingParts) Delay(string, configurer.Class) (time.Duration, bool) {
 	return time.Millisecond, true
 }
 
@@ -99,7 +99,7 @@
 	request := dispatcher.Request{ID: "r", Class: class, Repeatable: true, Arrived: time.Now()}
 
 	d := dispatcher.New(parts, parts, parts)
-	d.HedgeBy(parts)
+	d.SetHedger(parts)
 
 	// Bounds a test that fails; it decides no verdict of speed.
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
--- a/internal/server/plain.go
+++ b/internal/server/plain.go
@@ -125,10 +125,10 @@
 	err := s.exchange(ctx, attempt, reader)
 
 	outcome := dispatcher.Outcome{
-		Result:   sendResult(ctx, err, reader),
-		Duration: time.Since(started),
-		Rest:     forwarder.RestIn(err),
-		Err:      err,
+		Result:     sendResult(ctx, err, reader),
+		Duration:   time.Since(started),
+		RetryAfter: forwarder.RestIn(err),
+		Err:        err,
 	}
 
 	if err == nil {
@@ -167,7 +167,7 @@
 		return errors.Newf("the answer is longer than %d bytes", maxPlainAnswerBytes)
 	}
 
-	if !attempt.Own() {
+	if !attempt.TryOwn() {
 		return errSuperseded
 	}
 
--- a/internal/server/quarantine.go
+++ b/internal/server/quarantine.go
@@ -67,7 +67,7 @@
 		q.Answered(request.Key)
 	case dispatcher.ResultFailed, dispatcher.ResultSilent:
 		if _, leaving := q.node.leaving.Leaving(address); !leaving && !attempt.Slot.Upstream.Leaving {
-			q.Broke(request.Key, address, address, outcome.Tokens > 0 || outcome.Wasted > 0)
+			q.Broke(request.Key, address, address, outcome.Tokens > 0 || outcome.DiscardedTokens > 0)
 		}
 	}
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -152,9 +152,9 @@
 	node.placer.SetWeigher(node.ejector)
 	node.retrier = retrier.New(retrier.Options{Nodes: node.members.known})
 	node.dispatch = dispatcher.New(node.newSlotter(), node.retrier, node)
-	node.dispatch.HedgeBy(retrier.NewHedger(node.retrier.Budget()))
+	node.dispatch.SetHedger(retrier.NewHedger(node.retrier.Budget()))
 	node.quarantine = node.newQuarantine()
-	node.dispatch.QuarantineBy(node.quarantine)
+	node.dispatch.SetQuarantine(node.quarantine)
 
 	return node, nil
 }
--- a/internal/server/slots.go
+++ b/internal/server/slots.go
@@ -8,7 +8,7 @@
 )
 
 // newSlotter returns who grants slots under the node's routing policy.
-func (n *Node) newSlotter() dispatcher.Slotter {
+func (n *Node) newSlotter() dispatcher.SlotGranter {
 	if n.settings.Routing.Policy == loader.PolicyPowerOfTwo {
 		return n.placer
 	}
