--- a/internal/granter/pending.go
+++ b/internal/granter/pending.go
@@ -34,7 +34,7 @@
 	result chan decision
 }
 
-func (r *Router) register(ask dispatcher.Ask, service configurer.Service) *pendingRequest {
+func (r *Router) register(ask dispatcher.SlotRequest, service configurer.Service) *pendingRequest {
 	id := slotRequestID(r.options.Node, r.options.Incarnation, r.lastRequestNumber.Add(1))
 	part := r.partFor(&ask, service, id)
 	now := time.Now()
@@ -74,7 +74,7 @@
 // A pool of this node is preferred, unless it is full or its servers may be those
 // that failed an earlier attempt. Otherwise, a caller that sends everything to this
 // node would wait while other pools are idle, and a retry would get the same servers again.
-func (r *Router) partFor(ask *dispatcher.Ask, service configurer.Service, askID string) int {
+func (r *Router) partFor(ask *dispatcher.SlotRequest, service configurer.Service, askID string) int {
 	count := poolCount(service)
 	if count == 1 {
 		return 0
--- a/internal/granter/router.go
+++ b/internal/granter/router.go
@@ -20,7 +20,7 @@
 	noHolderRetryAfter = 2 * time.Second
 )
 
-// Router implements dispatcher.Slotter for the requests of this node. It requests slots
+// Router implements dispatcher.SlotGranter for the requests of this node. It requests slots
 // from the holder of the pool, and from the fallback while the holder doesn't answer.
 // It is safe for concurrent use.
 type Router struct {
@@ -28,7 +28,7 @@
 	settings          Snapshotter
 	members           Members
 	caller            Caller
-	fallback          dispatcher.Slotter
+	fallback          dispatcher.SlotGranter
 	holder            *Holder
 	options           Options
 	placement         *placement
@@ -53,7 +53,7 @@
 
 // NewRouter returns the router of a node whose own pools are run by holder.
 // Fallback grants slots while no holder answers. The router's goroutines end with ctx.
-func NewRouter(ctx context.Context, holder *Holder, fallback dispatcher.Slotter, settings Snapshotter, members Members, caller Caller, options Options) *Router {
+func NewRouter(ctx context.Context, holder *Holder, fallback dispatcher.SlotGranter, settings Snapshotter, members Members, caller Caller, options Options) *Router {
 	r := &Router{
 		ctx:           ctx,
 		settings:      settings,
@@ -76,8 +76,8 @@
 	return r
 }
 
-// Acquire implements dispatcher.Slotter.
-func (r *Router) Acquire(ctx context.Context, ask dispatcher.Ask) (dispatcher.Slot, error) {
+// Acquire implements dispatcher.SlotGranter.
+func (r *Router) Acquire(ctx context.Context, ask dispatcher.SlotRequest) (dispatcher.Slot, error) {
 	service, ok := r.settings.Snapshot().Services[ask.Service]
 	if !ok {
 		return dispatcher.Slot{}, classifier.New(classifier.UnknownService, "service %q left the settings tree", ask.Service)
@@ -195,7 +195,7 @@
 // doesn't answer: for tier 1 at once, for lower tiers while this node runs fewer
 // attempts on the pool than its recent peak. Otherwise ok is false and the request
 // stays pending.
-func (r *Router) acquireFallback(ctx context.Context, p *pendingRequest, ask dispatcher.Ask) (slot dispatcher.Slot, ok bool, err error) {
+func (r *Router) acquireFallback(ctx context.Context, p *pendingRequest, ask dispatcher.SlotRequest) (slot dispatcher.Slot, ok bool, err error) {
 	if p.class.Tier != topTier && p.class.MaxWait > 0 && time.Since(p.startedAt) >= p.class.MaxWait {
 		if !r.withdraw(p) {
 			return dispatcher.Slot{}, false, nil
@@ -245,8 +245,8 @@
 	return dispatcher.Slot{ID: d.GrantID, Upstream: upstream, Priority: d.Priority, Preempted: a.preempted}, nil
 }
 
-// Release implements dispatcher.Slotter.
-func (r *Router) Release(slot dispatcher.Slot, ask dispatcher.Ask, outcome dispatcher.Outcome) {
+// Release implements dispatcher.SlotGranter.
+func (r *Router) Release(slot dispatcher.Slot, ask dispatcher.SlotRequest, outcome dispatcher.Outcome) {
 	r.mu.Lock()
 	a := r.attempts[slot.ID]
 	delete(r.attempts, slot.ID)
