--- a/internal/ejector/ejector.go
+++ b/internal/ejector/ejector.go
@@ -12,36 +12,36 @@
 
 // Options are the bounds of an Ejector. Zero fields take their defaults.
 type Options struct {
-	// SlowFactor is how many times the pool's median time makes a straggler; default 2.5.
-	SlowFactor float64
-	// MinSamples is the least weight of samples to judge an upstream by; default 8.
-	MinSamples float64
+	// StragglerRatio is how many times the pool's median time makes a straggler; default 2.5.
+	StragglerRatio float64
+	// MinSampleWeight is the least weight of samples to judge an upstream by; default 8.
+	MinSampleWeight float64
 	// HalfLife is the age at which a sample counts half; default 10 s.
 	HalfLife time.Duration
-	// JudgeEvery is the least time between two comparisons of a pool; default 500 ms.
-	JudgeEvery time.Duration
-	// Failures is the number of failures in a row that ejects at once; default 3.
-	Failures int
-	// FirstEjection is the length of the first ejection; each further one doubles it. Default 5 s.
-	FirstEjection time.Duration
-	// LongestEjection bounds the doubling; default 60 s.
-	LongestEjection time.Duration
+	// EvaluationInterval is the least time between two comparisons of a pool; default 500 ms.
+	EvaluationInterval time.Duration
+	// ConsecutiveFailures is the number of failures in a row that ejects at once; default 3.
+	ConsecutiveFailures int
+	// MinEjection is the length of the first ejection; each further one doubles it. Default 5 s.
+	MinEjection time.Duration
+	// MaxEjection bounds the doubling; default 60 s.
+	MaxEjection time.Duration
 	// Probation is the time from the end of an ejection to the full share; default 30 s.
 	Probation time.Duration
-	// FirstShare is the share at the start of probation, 0 to 1; default 0.05.
-	FirstShare float64
+	// InitialWeight is the share at the start of probation, 0 to 1; default 0.05.
+	InitialWeight float64
 }
 
 func (o Options) withDefaults() Options {
-	setDefault(&o.SlowFactor, 2.5)
-	setDefault(&o.MinSamples, 8)
+	setDefault(&o.StragglerRatio, 2.5)
+	setDefault(&o.MinSampleWeight, 8)
 	setDefault(&o.HalfLife, 10*time.Second)
-	setDefault(&o.JudgeEvery, 500*time.Millisecond)
-	setDefault(&o.Failures, 3)
-	setDefault(&o.FirstEjection, 5*time.Second)
-	setDefault(&o.LongestEjection, time.Minute)
+	setDefault(&o.EvaluationInterval, 500*time.Millisecond)
+	setDefault(&o.ConsecutiveFailures, 3)
+	setDefault(&o.MinEjection, 5*time.Second)
+	setDefault(&o.MaxEjection, time.Minute)
 	setDefault(&o.Probation, 30*time.Second)
-	setDefault(&o.FirstShare, 0.05)
+	setDefault(&o.InitialWeight, 0.05)
 
 	return o
 }
@@ -123,14 +123,14 @@
 
 // Observe takes both the times and the end of an attempt, for callers that see no more than its outcome.
 func (e *Ejector) Observe(now time.Time, source Source, outcome dispatcher.Outcome) {
-	e.Sample(now, source, outcome.FirstToken, outcome.TokenGap())
-	e.Ended(now, source, outcome)
+	e.ObserveLatency(now, source, outcome.FirstToken, outcome.TokenGap())
+	e.ObserveResult(now, source, outcome)
 }
 
-// Sample takes the time to the first token or answer byte and a mean token gap;
+// ObserveLatency takes the time to the first token or answer byte and a mean token gap;
 // zero means none. Called while an answer runs (at the first token, then every
 // second or so) it finds a straggler long before its slow answers end.
-func (e *Ejector) Sample(now time.Time, source Source, firstToken, tokenGap time.Duration) {
+func (e *Ejector) ObserveLatency(now time.Time, source Source, firstToken, tokenGap time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 
@@ -143,14 +143,14 @@
 	times[signalFirst].add(now, firstToken, e.options.HalfLife)
 	times[signalGap].add(now, tokenGap, e.options.HalfLife)
 
-	if now.Sub(p.judged) >= e.options.JudgeEvery {
+	if now.Sub(p.judged) >= e.options.EvaluationInterval {
 		p.judged = now
 		e.judge(now, p)
 	}
 }
 
-// Ended counts failures in a row. Refusals don't count: a full upstream is not a failed one.
-func (e *Ejector) Ended(now time.Time, source Source, outcome dispatcher.Outcome) {
+// ObserveResult counts failures in a row. Refusals don't count: a full upstream is not a failed one.
+func (e *Ejector) ObserveResult(now time.Time, source Source, outcome dispatcher.Outcome) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 
@@ -239,7 +239,7 @@
 
 	m.failures++
 
-	if m.failures < e.options.Failures && m.state != stateProbation {
+	if m.failures < e.options.ConsecutiveFailures && m.state != stateProbation {
 		return
 	}
 
--- a/internal/ejector/ejector_test.go
+++ b/internal/ejector/ejector_test.go
@@ -53,7 +53,7 @@
 			first := 300 * factor(i) * math.Exp(0.6*b.random.NormFloat64())
 			gap := 30 * factor(i) * math.Exp(0.3*b.random.NormFloat64())
 			class := fmt.Sprintf("c%d", b.random.IntN(2))
-			b.ejector.Sample(b.now, Source{"s", class, name}, millis(first), millis(gap))
+			b.ejector.ObserveLatency(b.now, Source{"s", class, name}, millis(first), millis(gap))
 		}
 	}
 }
@@ -63,7 +63,7 @@
 }
 
 func (b *bench) end(i int, result dispatcher.Result) {
-	b.ejector.Ended(b.now, Source{"s", "c0", b.names[i]}, dispatcher.Outcome{Result: result})
+	b.ejector.ObserveResult(b.now, Source{"s", "c0", b.names[i]}, dispatcher.Outcome{Result: result})
 }
 
 func (b *bench) weight(i int) float64 {
@@ -155,7 +155,7 @@
 	assert.Equal(t, b.weight(0), 0.05)
 
 	late := dispatcher.Outcome{Result: dispatcher.ResultFailed, Duration: 8 * time.Second}
-	b.ejector.Ended(b.now, Source{"s", "c0", "u00"}, late)
+	b.ejector.ObserveResult(b.now, Source{"s", "c0", "u00"}, late)
 	assert.Equal(t, b.weight(0), 0.05, "an attempt from before the ejection says nothing new")
 
 	b.end(0, dispatcher.ResultFailed)
@@ -226,7 +226,7 @@
 
 			for i := 0; b.Loop(); i++ {
 				pool.now = pool.now.Add(10 * time.Millisecond)
-				pool.ejector.Sample(pool.now, Source{"s", "c0", pool.names[i%size]}, time.Second, time.Millisecond)
+				pool.ejector.ObserveLatency(pool.now, Source{"s", "c0", pool.names[i%size]}, time.Second, time.Millisecond)
 			}
 		})
 	}
--- a/internal/ejector/member.go
+++ b/internal/ejector/member.go
@@ -80,11 +80,11 @@
 }
 
 func (m *member) eject(now time.Time, options Options, slow bool) {
-	length := options.FirstEjection << min(m.strikes, maxDoublings)
+	length := options.MinEjection << min(m.strikes, maxDoublings)
 
 	m.state = stateEjected
 	m.since = now
-	m.until = now.Add(min(length, options.LongestEjection))
+	m.until = now.Add(min(length, options.MaxEjection))
 	m.slow = slow
 	m.strikes++
 	clear(m.times)
@@ -97,7 +97,7 @@
 	case stateProbation:
 		grown := float64(now.Sub(m.since)) / float64(options.Probation)
 
-		return options.FirstShare + (1-options.FirstShare)*max(grown, 0)
+		return options.InitialWeight + (1-options.InitialWeight)*max(grown, 0)
 	default:
 		return 1
 	}
@@ -106,10 +106,10 @@
 // needed is the weight of samples that it takes to judge the member.
 func (m *member) needed(options Options) float64 {
 	if m.state == stateProbation {
-		return probationSampleShare * options.MinSamples
+		return probationSampleShare * options.MinSampleWeight
 	}
 
-	return options.MinSamples
+	return options.MinSampleWeight
 }
 
 // signal is a mean of logarithms in which old samples fade. The logarithm keeps
--- a/internal/ejector/pool.go
+++ b/internal/ejector/pool.go
@@ -29,7 +29,7 @@
 
 	for kind := range signalCount {
 		scores := p.scores(now, kind, options)
-		limit := max(math.Log(options.SlowFactor), spreadFactor*spread(scores))
+		limit := max(math.Log(options.StragglerRatio), spreadFactor*spread(scores))
 
 		for m, s := range scores {
 			if s > limit/2 {
