--- a/internal/dispatcher/world_test.go
+++ b/internal/dispatcher/world_test.go
@@ -178,7 +178,7 @@
 // class's own budget pays for 10 extra attempts less spent, and the node's floor for none.
 func (w *world) run(ctx context.Context, repeatable bool, spent int) *classifier.Error {
 	class := configurer.Class{Name: "counter", Hedge: true, Repeatable: true, RetryBudget: 0.1}
-	judge := retrier.New(retrier.Options{FloorBurst: -1, FloorPerSecond: 1e-9})
+	judge := retrier.New(retrier.Options{MinRetryBurst: -1, MinRetriesPerSecond: 1e-9})
 	hedger := retrier.NewHedger(judge.Budget())
 
 	for range 200 {
--- a/internal/retrier/budget.go
+++ b/internal/retrier/budget.go
@@ -22,8 +22,8 @@
 	leastCost = 0.1
 )
 
-// Pair names a class of a service.
-type Pair struct {
+// ClassKey names a class of a service.
+type ClassKey struct {
 	Service string
 	Class   string
 }
@@ -47,7 +47,7 @@
 
 	mu sync.Mutex
 	// credit is in retries, never below zero; a class that isn't in it has its part of what it can save.
-	credit map[Pair]float64
+	credit map[ClassKey]float64
 	floor  *rate.Limiter
 	// floorCut says that the floor was cut to the node's part of it.
 	floorCut bool
@@ -56,13 +56,13 @@
 func newBudget(floorPerSecond float64, floorBurst int, nodes func() int) *Budget {
 	return &Budget{
 		nodes:  nodes,
-		credit: make(map[Pair]float64),
+		credit: make(map[ClassKey]float64),
 		floor:  rate.NewLimiter(rate.Limit(floorPerSecond), floorBurst),
 	}
 }
 
 // Earn credits one first attempt; shares outside 0 to 0.1 are cut.
-func (b *Budget) Earn(pair Pair, share float64) {
+func (b *Budget) Earn(pair ClassKey, share float64) {
 	share = cutShare(share)
 
 	b.mu.Lock()
@@ -73,7 +73,7 @@
 
 // Spend takes one extra attempt of the given cost, above 0 to 1, from the class's
 // credit, else a whole one from the floor. It returns false when neither has it.
-func (b *Budget) Spend(now time.Time, pair Pair, share, cost float64) bool {
+func (b *Budget) Spend(now time.Time, pair ClassKey, share, cost float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 
@@ -104,7 +104,7 @@
 	return max(b.nodes(), 1)
 }
 
-func (b *Budget) creditOf(pair Pair, share float64) float64 {
+func (b *Budget) creditOf(pair ClassKey, share float64) float64 {
 	if credit, ok := b.credit[pair]; ok {
 		return credit
 	}
--- a/internal/retrier/hedger.go
+++ b/internal/retrier/hedger.go
@@ -28,7 +28,7 @@
 	budget *Budget
 
 	mu      sync.Mutex
-	classes map[Pair]*hedgeClass
+	classes map[ClassKey]*hedgeClass
 }
 
 // hedgeClass is what is known of one class.
@@ -41,7 +41,7 @@
 
 // NewHedger returns a hedger that spends from the given budget.
 func NewHedger(budget *Budget) *Hedger {
-	return &Hedger{budget: budget, classes: make(map[Pair]*hedgeClass)}
+	return &Hedger{budget: budget, classes: make(map[ClassKey]*hedgeClass)}
 }
 
 // Observe takes the time to the first token or answer byte of a first attempt.
@@ -54,7 +54,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 
-	pair := Pair{Service: service, Class: class.Name}
+	pair := ClassKey{Service: service, Class: class.Name}
 	known := h.classes[pair]
 
 	if known == nil {
@@ -89,7 +89,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 
-	known := h.classes[Pair{Service: service, Class: class.Name}]
+	known := h.classes[ClassKey{Service: service, Class: class.Name}]
 	if known == nil || known.after == 0 {
 		return 0, false
 	}
@@ -100,7 +100,7 @@
 // Spend takes the second copy from the class's budget. It is to be called right
 // before the copy is sent; false means to go on waiting for the first.
 func (h *Hedger) Spend(now time.Time, service string, class configurer.Class) bool {
-	return mayHedge(class) && h.budget.Spend(now, Pair{Service: service, Class: class.Name}, class.RetryBudget, fullCost)
+	return mayHedge(class) && h.budget.Spend(now, ClassKey{Service: service, Class: class.Name}, class.RetryBudget, fullCost)
 }
 
 func mayHedge(class configurer.Class) bool {
--- a/internal/retrier/restart_test.go
+++ b/internal/retrier/restart_test.go
@@ -21,7 +21,7 @@
 	)
 
 	now := time.Unix(0, 0)
-	options := retrier.Options{Nodes: func() int { return nodes }, Now: func() time.Time { return now }}
+	options := retrier.Options{NodeCount: func() int { return nodes }, Now: func() time.Time { return now }}
 	request := dispatcher.Request{Class: configurer.Class{Name: "chat", RetryBudget: budget}, Repeatable: true}
 	failed := dispatcher.Outcome{Result: dispatcher.ResultFailed}
 	extra := 0
--- a/internal/retrier/retrier.go
+++ b/internal/retrier/retrier.go
@@ -16,19 +16,19 @@
 type Options struct {
 	// MaxAttempts bounds the attempts of a request that the holder did not end; default 4.
 	MaxAttempts int
-	// MaxPreempted bounds the attempts that the holder may end; default 32.
-	MaxPreempted int
-	// FloorBurst is how many retries a node may send beyond the budgets of all its classes; default 3.
-	FloorBurst int
-	// FloorPerSecond refills that allowance; default 0.05, one in 20 s.
-	FloorPerSecond float64
+	// MaxPreemptions bounds the attempts that the holder may end; default 32.
+	MaxPreemptions int
+	// MinRetryBurst is how many retries a node may send beyond the budgets of all its classes; default 3.
+	MinRetryBurst int
+	// MinRetriesPerSecond refills that allowance; default 0.05, one in 20 s.
+	MinRetriesPerSecond float64
 	// RetryAfter is the least time that a failed request's caller is told to wait, default 2 s.
 	// Up to the same again is added by request id, so that callers who failed together don't return together.
 	RetryAfter time.Duration
 	// Now is the clock that refills the floor; default time.Now.
 	Now func() time.Time
-	// Nodes returns the number of nodes that may exist, which divide among them what no request has earned; default 1.
-	Nodes func() int
+	// NodeCount returns the number of nodes that may exist, which divide among them what no request has earned; default 1.
+	NodeCount func() int
 }
 
 const (
@@ -44,16 +44,16 @@
 		o.MaxAttempts = defaultMaxAttempts
 	}
 
-	if o.MaxPreempted == 0 {
-		o.MaxPreempted = defaultMaxPreempted
+	if o.MaxPreemptions == 0 {
+		o.MaxPreemptions = defaultMaxPreempted
 	}
 
-	if o.FloorBurst == 0 {
-		o.FloorBurst = defaultFloorBurst
+	if o.MinRetryBurst == 0 {
+		o.MinRetryBurst = defaultFloorBurst
 	}
 
-	if o.FloorPerSecond == 0 {
-		o.FloorPerSecond = defaultFloorPerSecond
+	if o.MinRetriesPerSecond == 0 {
+		o.MinRetriesPerSecond = defaultFloorPerSecond
 	}
 
 	if o.RetryAfter == 0 {
@@ -64,8 +64,8 @@
 		o.Now = time.Now
 	}
 
-	if o.Nodes == nil {
-		o.Nodes = func() int { return 1 }
+	if o.NodeCount == nil {
+		o.NodeCount = func() int { return 1 }
 	}
 
 	return o
@@ -82,7 +82,7 @@
 func New(options Options) *Retrier {
 	options = options.withDefaults()
 
-	return &Retrier{options: options, budget: newBudget(options.FloorPerSecond, options.FloorBurst, options.Nodes)}
+	return &Retrier{options: options, budget: newBudget(options.MinRetriesPerSecond, options.MinRetryBurst, options.NodeCount)}
 }
 
 // Budget returns the budget that retries share with hedged requests.
@@ -99,7 +99,7 @@
 // attempt a resume: the dispatcher hands it on as the offset.
 func (r *Retrier) Decide(request dispatcher.Request, attempt dispatcher.Attempt, outcome dispatcher.Outcome, progress int) dispatcher.Next {
 	history := attempt.History.After(outcome)
-	pair := Pair{Service: request.Service.Name, Class: request.Class.Name}
+	pair := ClassKey{Service: request.Service.Name, Class: request.Class.Name}
 
 	if attempt.History.Reached == 0 && history.Reached == 1 {
 		r.budget.Earn(pair, request.Class.RetryBudget)
@@ -132,7 +132,7 @@
 		return endNotRepeatable
 	}
 
-	if history.Preempted > r.options.MaxPreempted {
+	if history.Preempted > r.options.MaxPreemptions {
 		return endPreempted
 	}
 
@@ -146,7 +146,7 @@
 // pay takes a retry from the class's budget. A preempted attempt is the
 // holder's own decision and an attempt that was not sent put no load on any
 // upstream, so what follows these costs nothing.
-func (r *Retrier) pay(pair Pair, share float64, outcome dispatcher.Outcome) reason {
+func (r *Retrier) pay(pair ClassKey, share float64, outcome dispatcher.Outcome) reason {
 	if outcome.Result == dispatcher.ResultPreempted || outcome.Result == dispatcher.ResultNotSent {
 		return reasonNone
 	}
--- a/internal/retrier/retrier_test.go
+++ b/internal/retrier/retrier_test.go
@@ -163,7 +163,7 @@
 	}
 
 	rapid.Check(t, func(t *rapid.T) {
-		judge := New(Options{FloorBurst: 100})
+		judge := New(Options{MinRetryBurst: 100})
 		play := &script{pool: 12}
 
 		for range rapid.IntRange(0, 12).Draw(t, "length") {
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -150,7 +150,7 @@
 	node.limits = newLimits(tree, identity)
 	node.distributor = node.newDistributor()
 	node.placer.SetWeigher(node.ejector)
-	node.retrier = retrier.New(retrier.Options{Nodes: node.members.known})
+	node.retrier = retrier.New(retrier.Options{NodeCount: node.members.known})
 	node.dispatch = dispatcher.New(node.newSlotter(), node.retrier, node)
 	node.dispatch.HedgeBy(retrier.NewHedger(node.retrier.Budget()))
 	node.quarantine = node.newQuarantine()
