--- a/internal/drainer/drainer.go
+++ b/internal/drainer/drainer.go
@@ -59,16 +59,16 @@
 type Options struct {
 	// EntryLifetime is how long callers keep an answer of GET /v1/entries.
 	EntryLifetime time.Duration
-	// Propagation is how long other nodes may still name this one after it announced its leaving; 0 means DefaultPropagation.
-	Propagation time.Duration
+	// PropagationTime is how long other nodes may still name this one after it announced its leaving; 0 means DefaultPropagation.
+	PropagationTime time.Duration
 	// DrainTimeout bounds the whole stop from the first signal on.
 	// It must exceed EntryLifetime plus Propagation, or kept answers lead to a node that is gone.
 	DrainTimeout time.Duration
 }
 
-// DefaultPropagation is above the time after which all of 370 nodes knew of a leaving
+// DefaultPropagationTime is above the time after which all of 370 nodes knew of a leaving
 // at 5% loss (0.7 s measured, see TestProber_LeaveIsKnownAtOnce of package prober).
-const DefaultPropagation = 2 * time.Second
+const DefaultPropagationTime = 2 * time.Second
 
 // Drainer is the planned stop of one node. It is safe for concurrent use.
 //
@@ -90,8 +90,8 @@
 
 // New returns the stop of a node that serves.
 func New(options Options) *Drainer {
-	if options.Propagation <= 0 {
-		options.Propagation = DefaultPropagation
+	if options.PropagationTime <= 0 {
+		options.PropagationTime = DefaultPropagationTime
 	}
 
 	return &Drainer{options: options}
@@ -131,14 +131,14 @@
 
 // refuseAt is when the last answer that names this node has run out, or the deadline.
 func (d *Drainer) refuseAt() time.Time {
-	wait := min(d.options.EntryLifetime+d.options.Propagation, d.options.DrainTimeout)
+	wait := min(d.options.EntryLifetime+d.options.PropagationTime, d.options.DrainTimeout)
 
 	return d.began.Add(wait)
 }
 
-// CloseConnections says whether answers carry "Connection: close", so that
+// ShouldCloseConnections says whether answers carry "Connection: close", so that
 // callers connect to another node for their next request.
-func (d *Drainer) CloseConnections() bool {
+func (d *Drainer) ShouldCloseConnections() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 
@@ -157,9 +157,9 @@
 	return d.began.Add(d.options.DrainTimeout)
 }
 
-// HandOverDue answers true once: when new requests are refused and none is in flight.
+// StartHandover answers true once: when new requests are refused and none is in flight.
 // The caller then hands over pools and claim shards and calls HandedOver.
-func (d *Drainer) HandOverDue(now time.Time, inFlight int) bool {
+func (d *Drainer) StartHandover(now time.Time, inFlight int) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 
@@ -172,9 +172,9 @@
 	return true
 }
 
-// HandedOver records that nothing is held any more, or that it could not be handed over;
+// CompleteHandover records that nothing is held any more, or that it could not be handed over;
 // other nodes then take it by their own means.
-func (d *Drainer) HandedOver() {
+func (d *Drainer) CompleteHandover() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 
--- a/internal/drainer/drainer_test.go
+++ b/internal/drainer/drainer_test.go
@@ -26,7 +26,7 @@
 func TestDrainer_PlannedStop(t *testing.T) {
 	d := drainer.New(options())
 	assert.Assert(t, d.Accepting(at(0)))
-	assert.Assert(t, !d.CloseConnections())
+	assert.Assert(t, !d.ShouldCloseConnections())
 	assert.Assert(t, d.Begin(at(0)))
 
 	for _, tt := range []struct {
@@ -45,15 +45,15 @@
 		{second: 21, inFlight: 0, phase: drainer.HandingOver},
 	} {
 		assert.Equal(t, d.Accepting(at(tt.second)), tt.accepting, "at %v s", tt.second)
-		assert.Equal(t, d.HandOverDue(at(tt.second), tt.inFlight), tt.due, "at %v s", tt.second)
+		assert.Equal(t, d.StartHandover(at(tt.second), tt.inFlight), tt.due, "at %v s", tt.second)
 		assert.Equal(t, d.Phase(at(tt.second)), tt.phase, "at %v s", tt.second)
-		assert.Assert(t, d.CloseConnections())
+		assert.Assert(t, d.ShouldCloseConnections())
 
 		done, _ := d.Done(at(tt.second), tt.inFlight)
 		assert.Assert(t, !done, "at %v s", tt.second)
 	}
 
-	d.HandedOver()
+	d.CompleteHandover()
 
 	done, reason := d.Done(at(21), 0)
 	assert.Assert(t, done)
@@ -104,8 +104,8 @@
 
 			inFlight -= min(inFlight, rapid.IntRange(0, 3).Draw(t, "finish"))
 
-			if d.HandOverDue(at(now), inFlight) {
-				d.HandedOver()
+			if d.StartHandover(at(now), inFlight) {
+				d.CompleteHandover()
 			}
 
 			done, reason := d.Done(at(now), inFlight)
@@ -127,7 +127,7 @@
 // Symptom: a leaving upstream gets new work. Sequence: its report says leaving; the platform's list lags or is down.
 // Cause: one source's silence taken for a denial.
 func TestUpstreamLeaving_AnySourceHolds(t *testing.T) {
-	u := drainer.NewUpstreamLeaving()
+	u := drainer.NewLeavingUpstreams()
 	u.Mark(at(1), drainer.SourceReport, "a", true)
 	u.Replace(at(2), drainer.SourceList, nil)
 	u.Replace(at(3), drainer.SourceSettings, []string{"b"})
--- a/internal/drainer/upstream.go
+++ b/internal/drainer/upstream.go
@@ -20,7 +20,7 @@
 	sources
 )
 
-// UpstreamLeaving merges the leaving marks of upstreams. It is safe for concurrent use.
+// LeavingUpstreams merges the leaving marks of upstreams. It is safe for concurrent use.
 //
 // An upstream gets no new work while any source marks it. A source that falls
 // silent keeps its last word: an outage of the platform must not send work back
@@ -29,16 +29,16 @@
 // load reports (more than 1.5 s would break the promise of nothing new within
 // 2 s, for a slot may be on its way), the time until a settings change is in
 // force, or the lag of the list, whichever comes first.
-type UpstreamLeaving struct {
+type LeavingUpstreams struct {
 	mu     sync.RWMutex
 	marked [sources]map[string]bool
 	// since is when the first of the present marks came.
 	since map[string]time.Time
 }
 
-// NewUpstreamLeaving returns a tracker without marks.
-func NewUpstreamLeaving() *UpstreamLeaving {
-	u := &UpstreamLeaving{since: make(map[string]time.Time)}
+// NewLeavingUpstreams returns a tracker without marks.
+func NewLeavingUpstreams() *LeavingUpstreams {
+	u := &LeavingUpstreams{since: make(map[string]time.Time)}
 	for i := range u.marked {
 		u.marked[i] = make(map[string]bool)
 	}
@@ -47,7 +47,7 @@
 }
 
 // Mark takes in what one source says about one upstream, and reports whether that is news.
-func (u *UpstreamLeaving) Mark(now time.Time, source Source, upstream string, leaving bool) bool {
+func (u *LeavingUpstreams) Mark(now time.Time, source Source, upstream string, leaving bool) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 
@@ -56,7 +56,7 @@
 
 // Replace takes in all leaving upstreams that a source names; others lose this
 // source's mark. It reports whether any mark changed.
-func (u *UpstreamLeaving) Replace(now time.Time, source Source, upstreams []string) bool {
+func (u *LeavingUpstreams) Replace(now time.Time, source Source, upstreams []string) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 
@@ -76,14 +76,14 @@
 }
 
 // Marked returns the upstreams that a source marks, in no order.
-func (u *UpstreamLeaving) Marked(source Source) []string {
+func (u *LeavingUpstreams) Marked(source Source) []string {
 	u.mu.RLock()
 	defer u.mu.RUnlock()
 
 	return slices.Collect(maps.Keys(u.marked[source]))
 }
 
-func (u *UpstreamLeaving) mark(now time.Time, source Source, upstream string, leaving bool) bool {
+func (u *LeavingUpstreams) mark(now time.Time, source Source, upstream string, leaving bool) bool {
 	if u.marked[source][upstream] == leaving {
 		return false
 	}
@@ -107,7 +107,7 @@
 	return true
 }
 
-func (u *UpstreamLeaving) anyMark(upstream string) bool {
+func (u *LeavingUpstreams) anyMark(upstream string) bool {
 	for _, marks := range u.marked {
 		if marks[upstream] {
 			return true
@@ -118,7 +118,7 @@
 }
 
 // Leaving says whether the upstream gets no new work, and since when.
-func (u *UpstreamLeaving) Leaving(upstream string) (since time.Time, leaving bool) {
+func (u *LeavingUpstreams) Leaving(upstream string) (since time.Time, leaving bool) {
 	u.mu.RLock()
 	defer u.mu.RUnlock()
 
--- a/internal/loader/values.go
+++ b/internal/loader/values.go
@@ -32,7 +32,7 @@
 // checkDrain refuses a stop that ends while callers still keep an entries
 // answer that names the node: they would meet a node that is gone.
 func checkDrain(node Node, body ast.Node) []checker.Problem {
-	least := node.EntryLifetime + drainer.DefaultPropagation
+	least := node.EntryLifetime + drainer.DefaultPropagationTime
 	if node.DrainTimeout > least {
 		return nil
 	}
--- a/internal/server/entries.go
+++ b/internal/server/entries.go
@@ -56,7 +56,7 @@
 		Name:          n.settings.Node.Name,
 		Address:       n.settings.Node.Advertise,
 		FailureDomain: n.settings.Node.FailureDomain,
-		Leaving:       n.drain.CloseConnections(),
+		Leaving:       n.drain.ShouldCloseConnections(),
 		Load:          n.loadPercent(),
 	}}
 
--- a/internal/server/leaving.go
+++ b/internal/server/leaving.go
@@ -26,7 +26,7 @@
 // elsewhere for their next request before that.
 func (n *Node) whileAccepting(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if n.drain.CloseConnections() {
+		if n.drain.ShouldCloseConnections() {
 			w.Header().Set("Connection", "close")
 		}
 
@@ -85,7 +85,7 @@
 	for now := range ticker.C {
 		inFlight := n.runs.count() + int(n.writing.Load())
 
-		if n.drain.HandOverDue(now, inFlight) {
+		if n.drain.StartHandover(now, inFlight) {
 			go n.handOver()
 		}
 
@@ -100,7 +100,7 @@
 // handOver waits until the end of every claim is written. Pools need nothing:
 // the others gave them to new holders when they heard that this node leaves.
 func (n *Node) handOver() {
-	defer n.drain.HandedOver()
+	defer n.drain.CompleteHandover()
 
 	if n.claims == nil {
 		return
@@ -131,7 +131,7 @@
 
 // withLeaving marks the upstreams of a snapshot that other sources than the tree say are leaving.
 // It copies the services that have such upstreams; the snapshot itself and all others are shared.
-func withLeaving(snapshot configurer.Snapshot, leaving *drainer.UpstreamLeaving) configurer.Snapshot {
+func withLeaving(snapshot configurer.Snapshot, leaving *drainer.LeavingUpstreams) configurer.Snapshot {
 	marked := make(map[string]bool)
 
 	for _, source := range []drainer.Source{drainer.SourceSettings, drainer.SourceList, drainer.SourceReport} {
--- a/internal/server/members.go
+++ b/internal/server/members.go
@@ -99,7 +99,7 @@
 	return prober.Digest{
 		Revision: n.distributor.Revision(),
 		Load:     n.loadPercent(),
-		Leaving:  n.drain.CloseConnections(),
+		Leaving:  n.drain.ShouldCloseConnections(),
 		Run:      n.identity.incarnation,
 	}
 }
--- a/internal/server/operators.go
+++ b/internal/server/operators.go
@@ -109,7 +109,7 @@
 		FailureDomain: n.settings.Node.FailureDomain,
 		StartedAt:     n.started,
 		Revision:      n.tree.Snapshot().Revision,
-		Leaving:       n.drain.CloseConnections(),
+		Leaving:       n.drain.ShouldCloseConnections(),
 		Peers:         n.peerStatuses(),
 		InFlight:      n.runs.count(),
 		MaxInFlight:   n.settings.Node.MaxInFlight,
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -77,7 +77,7 @@
 	lister     *lister.Lister
 	drain      *drainer.Drainer
 	// leaving merges what the platform's list and load reports say of upstreams.
-	leaving *drainer.UpstreamLeaving
+	leaving *drainer.LeavingUpstreams
 	// writing counts answers that are on their way to callers.
 	writing atomic.Int64
 	// router asks the holders of pools; nil under the baseline policy.
@@ -109,7 +109,7 @@
 
 func newNode(settings loader.Settings, logger zerolog.Logger) (*Node, error) {
 	identity := newIdentity(settings.Node.Name)
-	leaving := drainer.NewUpstreamLeaving()
+	leaving := drainer.NewLeavingUpstreams()
 	tree := newSettingsHolder(settings.Snapshot(), leaving)
 	work, stopWork := context.WithCancel(context.Background())
 
--- a/internal/server/settings.go
+++ b/internal/server/settings.go
@@ -21,7 +21,7 @@
 
 // settingsHolder gives the settings in force. It is safe for concurrent use.
 type settingsHolder struct {
-	leaving *drainer.UpstreamLeaving
+	leaving *drainer.LeavingUpstreams
 	view    atomic.Pointer[settingsView]
 
 	// mu makes changes follow each other.
@@ -30,7 +30,7 @@
 	tree configurer.Snapshot
 }
 
-func newSettingsHolder(snapshot configurer.Snapshot, leaving *drainer.UpstreamLeaving) *settingsHolder {
+func newSettingsHolder(snapshot configurer.Snapshot, leaving *drainer.LeavingUpstreams) *settingsHolder {
 	h := &settingsHolder{leaving: leaving}
 	h.set(snapshot)
 
--- a/internal/server/settings_test.go
+++ b/internal/server/settings_test.go
@@ -32,7 +32,7 @@
 // Sequence: a set of organisations changes while the others, and the number of sets, stay.
 // Cause: the index of keys is kept although one of the maps that it was made of is another.
 func TestKeysFollowTheOrganisations(t *testing.T) {
-	holder := newSettingsHolder(configurer.Snapshot{}, drainer.NewUpstreamLeaving())
+	holder := newSettingsHolder(configurer.Snapshot{}, drainer.NewLeavingUpstreams())
 	base, shared, own := organisationsOf(2), organisationsOf(3), organisationsOf(4)
 	request := httptest.NewRequest("GET", "/", nil)
 	request.Header.Set("Authorization", "Bearer key-3")
@@ -66,7 +66,7 @@
 	node, _ := newTestNode(b)
 	node.applyTree(snapshot)
 
-	view := newSettingsHolder(configurer.Snapshot{}, drainer.NewUpstreamLeaving())
+	view := newSettingsHolder(configurer.Snapshot{}, drainer.NewLeavingUpstreams())
 	held := heapInUse()
 	view.set(snapshot)
 
