--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -77,7 +77,7 @@
 	lister     *lister.Lister
 	drain      *drainer.Drainer
 	// leaving merges what the platform's list and load reports say of upstreams.
-	leaving *drainer.UpstreamLeaving
+	leaving *drainer.LeavingUpstreams
 	// writing counts answers that are on their way to callers.
 	writing atomic.Int64
 	// router asks the holders of pools; nil under the baseline policy.
@@ -109,7 +109,7 @@
 
 func newNode(settings loader.Settings, logger zerolog.Logger) (*Node, error) {
 	identity := newIdentity(settings.Node.Name)
-	leaving := drainer.NewUpstreamLeaving()
+	leaving := drainer.NewLeavingUpstreams()
 	tree := newSettingsHolder(settings.Snapshot(), leaving)
 	work, stopWork := context.WithCancel(context.Background())
 
@@ -150,7 +150,7 @@
 	node.limits = newLimits(tree, identity)
 	node.distributor = node.newDistributor()
 	node.placer.SetWeigher(node.ejector)
-	node.retrier = retrier.New(retrier.Options{Nodes: node.members.known})
+	node.retrier = retrier.New(retrier.Options{NodeCount: node.members.known})
 	node.dispatch = dispatcher.New(node.newSlotter(), node.retrier, node)
 	node.dispatch.SetHedger(retrier.NewHedger(node.retrier.Budget()))
 	node.quarantine = node.newQuarantine()
