--- a/internal/gateway/crashing_test.go
+++ b/internal/gateway/crashing_request_test.go
@@ -21,21 +21,21 @@
 )
 
 const (
-	// upstreamsPerService is enough for the nodes' repeats to find another upstream after each crash.
+	// upstreamsPerService is large enough for each retry to find another upstream after a crash.
 	upstreamsPerService = 6
-	// crashesToProve is the number of upstreams that must have crashed before a request may be told from those beside it.
-	crashesToProve = 3
-	// timeToSpread is how long the nodes have after that until further runs count.
-	timeToSpread = 3 * time.Second
-	// runsAfterProof is the number of runs that are allowed after that time.
-	runsAfterProof = 3
-	// sendsAfterProof is the number of times that the request is sent after that time.
-	sendsAfterProof = 10
+	// crashesToQuarantine is the number of crashes needed to tell the request from others that ran on the same upstreams.
+	crashesToQuarantine = 3
+	// quarantineSpreadTime is how long the nodes then have to spread the quarantine; later runs are counted.
+	quarantineSpreadTime = 3 * time.Second
+	// maxRunsAfterQuarantine is the number of runs allowed after that time.
+	maxRunsAfterQuarantine = 3
+	// sendsAfterQuarantine is how often the request is sent after that time.
+	sendsAfterQuarantine = 10
 	// crashDelay is how long a request runs before its upstream crashes.
 	crashDelay = 20 * time.Millisecond
 )
 
-// crashStore is a store with one service for each route, whose upstreams come and go.
+// crashStore is a store with one service for each route, and with upstreams that change.
 type crashStore struct {
 	store
 
@@ -71,7 +71,7 @@
 	}, nil
 }
 
-func (s *crashStore) change(change func()) {
+func (s *crashStore) update(change func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
@@ -88,8 +88,9 @@
 	}
 }
 
-// crasher is the upstreams of one service. They crash under a body of "crash" and are started again under another id.
-type crasher struct {
+// crashingService runs the upstreams of one service. They crash on a request with the body "crash" and are replaced by
+// new ones with other IDs.
+type crashingService struct {
 	t       *testing.T
 	store   *crashStore
 	service string
@@ -97,7 +98,7 @@
 	crashes atomic.Int64
 }
 
-func (c *crasher) start() {
+func (c *crashingService) start() {
 	listener, err := new(net.ListenConfig).Listen(context.Background(), "tcp", "127.0.0.1:0")
 	assert.NilError(c.t, err)
 
@@ -118,14 +119,14 @@
 	go func() { _ = server.Serve(listener) }()
 
 	c.t.Cleanup(func() { _ = server.Close() })
-	c.store.change(func() {
+	c.store.update(func() {
 		c.store.upstreams = append(c.store.upstreams, cataloguer.Upstream{
 			ID: id, Service: c.service, Address: listener.Addr().String(), Slots: 6,
 		})
 	})
 }
 
-func (c *crasher) answer(w http.ResponseWriter, r *http.Request, crash func()) {
+func (c *crashingService) answer(w http.ResponseWriter, r *http.Request, crash func()) {
 	body, _ := io.ReadAll(r.Body)
 
 	w.Header().Set("X-Id", r.Header.Get("X-Id"))
@@ -145,8 +146,8 @@
 	_, _ = io.WriteString(w, "id: 1\ndata: done\n\n")
 }
 
-func (c *crasher) replace(id string) {
-	c.store.change(func() {
+func (c *crashingService) replace(id string) {
+	c.store.update(func() {
 		c.store.upstreams = slices.DeleteFunc(c.store.upstreams, func(u cataloguer.Upstream) bool { return u.ID == id })
 	})
 	c.start()
@@ -154,8 +155,8 @@
 
 var requestCount atomic.Int64
 
-// ask sends a request under a new id and returns its status, 0 if the answer broke off.
-func ask(node loader.Settings, service, body string) int {
+// post sends a request with a new request ID and returns the response status, 0 if the response was cut off.
+func post(node loader.Settings, service, body string) int {
 	request, err := http.NewRequest(http.MethodPost, "http://"+node.Node.Listen+"/"+service+"/1", strings.NewReader(body))
 	if err != nil {
 		return 0
@@ -177,16 +178,15 @@
 	return response.StatusCode
 }
 
-// Seen: upstream after upstream ended for seconds, and callers of all that ran there got broken answers.
-// Sequence: an upstream crashes under a request; its caller sends it again, at any node and under another id.
-// Cause: failures were held against upstreams only, and nothing of a request outlived the one attempt of its caller.
-// Proof: with the request's content in the logs, the same one is found at each crash.
+// Guards against a request that crashes one upstream after another for seconds and cuts off all other responses there.
+// The caller repeats the request after each crash, at any node and with another request ID. Counting failures by upstream
+// only doesn't stop it, nor does state that ends with one attempt: the request has to be recognised by its content.
 func TestRequestThatCrashesUpstreamsIsStopped(t *testing.T) {
 	s := &crashStore{store: store{revision: 1}}
-	crashers := make(map[string]*crasher)
+	crashers := make(map[string]*crashingService)
 
 	for _, route := range crashRoutes() {
-		c := &crasher{t: t, store: s, service: route.Name}
+		c := &crashingService{t: t, store: s, service: route.Name}
 		crashers[route.Name] = c
 
 		for range upstreamsPerService {
@@ -196,46 +196,46 @@
 
 	nodes := []loader.Settings{startNode(t, s, 1), startNode(t, s, 2)}
 
-	until(func() bool {
-		return !slices.ContainsFunc(nodes, func(n loader.Settings) bool { return ask(n, "lookup", "fine") != http.StatusOK })
+	waitUntil(func() bool {
+		return !slices.ContainsFunc(nodes, func(n loader.Settings) bool { return post(n, "lookup", "fine") != http.StatusOK })
 	})
 
 	var work sync.WaitGroup
 
 	for _, route := range crashRoutes() {
-		work.Go(func() { sendUntilProven(crashers[route.Name], nodes) })
+		work.Go(func() { sendUntilQuarantined(crashers[route.Name], nodes) })
 	}
 
 	work.Wait()
-	time.Sleep(timeToSpread)
+	time.Sleep(quarantineSpreadTime)
 
-	// A node that has not seen any of it.
+	// This node starts after the crashes.
 	late := startNode(t, s, 3)
 	nodes = append(nodes, late)
-	until(func() bool { return ask(late, "lookup", "fine") == http.StatusOK })
+	waitUntil(func() bool { return post(late, "lookup", "fine") == http.StatusOK })
 
 	for _, route := range crashRoutes() {
 		work.Go(func() {
 			c := crashers[route.Name]
 			before := c.crashes.Load()
 
-			for i := range sendsAfterProof {
-				_ = ask(nodes[(i+2)%len(nodes)], route.Name, "crash")
-				// The request beside it is served as ever.
-				assert.Check(t, ask(nodes[i%len(nodes)], route.Name, "fine") == http.StatusOK, route.Name)
+			for i := range sendsAfterQuarantine {
+				_ = post(nodes[(i+2)%len(nodes)], route.Name, "crash")
+				// Other requests to the service are still served.
+				assert.Check(t, post(nodes[i%len(nodes)], route.Name, "fine") == http.StatusOK, route.Name)
 			}
 
 			runs := c.crashes.Load() - before
-			assert.Check(t, runs <= runsAfterProof, "%s: %d more runs", route.Name, runs)
+			assert.Check(t, runs <= maxRunsAfterQuarantine, "%s: %d more runs", route.Name, runs)
 		})
 	}
 
 	work.Wait()
 }
 
-// startNode starts a node that ends with the test: another test uses its addresses.
+// startNode starts a node that is stopped at the end of the test, since other tests use the same addresses.
 func startNode(t *testing.T, s gateway.Store, number int) loader.Settings {
-	settings, stop, ended := start(t, s, number)
+	settings, stop, ended := startWithEntries(t, s, number)
 
 	t.Cleanup(func() {
 		stop()
@@ -245,9 +245,9 @@
 	return settings
 }
 
-// sendUntilProven sends the request until enough upstreams have crashed under it, each time at another node.
-func sendUntilProven(c *crasher, nodes []loader.Settings) {
-	for i := 0; c.crashes.Load() < crashesToProve; i++ {
-		_ = ask(nodes[i%len(nodes)], c.service, "crash")
+// sendUntilQuarantined sends the request to the nodes in turn until it has crashed enough upstreams.
+func sendUntilQuarantined(c *crashingService, nodes []loader.Settings) {
+	for i := 0; c.crashes.Load() < crashesToQuarantine; i++ {
+		_ = post(nodes[i%len(nodes)], c.service, "crash")
 	}
 }
--- a/internal/gateway/duties.go
+++ b/internal/gateway/duties.go
@@ -16,14 +16,14 @@
 	"quincepath.example/quincepath/internal/prober"
 )
 
-// lifeBase keeps the names of processes short, which the account of usage repeats for each node.
-const lifeBase = 36
+// processIDBase is the number base of process IDs. It keeps them short, since usage records contain one for each node.
+const processIDBase = 36
 
-// mostCandidates is the number of nodes that stand for the platform's duties at once.
-const mostCandidates = 4
+// maxDutyCandidates is the maximum number of nodes that compete for the platform's duties at the same time.
+const maxDutyCandidates = 4
 
 func (n *Node) newTallier() *tallier.Tallier {
-	options := tallier.Options{Life: strconv.FormatUint(rand.Uint64(), lifeBase), Now: n.catalog.Now, TimeOfDay: time.Now}
+	options := tallier.Options{Life: strconv.FormatUint(rand.Uint64(), processIDBase), Now: n.catalog.Now, TimeOfDay: time.Now}
 
 	if settings := n.settings.Gateway.Duties; settings.ReportsUsage() {
 		options.Window = settings.UsageWindow
@@ -32,8 +32,8 @@
 	return tallier.New(options)
 }
 
-// addDuties lets the node stand for the platform's duties, if there are any.
-func (n *Node) addDuties(parts DutyBackends) {
+// addLeader makes the node a candidate for the platform's duties, if the settings enable any.
+func (n *Node) addLeader(backends DutyBackends) {
 	settings := n.settings.Gateway.Duties
 	if !settings.ReportsUsage() && !settings.Scales() {
 		return
@@ -43,12 +43,12 @@
 		Node:           n.settings.Node.Name,
 		Self:           n.settings.Node.PeerListen,
 		Incarnation:    uuid.NewString(),
-		Store:          parts.Store,
-		Platform:       parts.Platform,
+		Store:          backends.Store,
+		Platform:       backends.Platform,
 		Peers:          n.messages,
-		Candidate:      n.isCandidate,
-		Leaving:        func() bool { return n.leaving() > 0 },
-		Nodes:          n.answering,
+		Candidate:      n.isDutyCandidate,
+		Leaving:        func() bool { return n.leavingFor() > 0 },
+		Nodes:          n.nodesNotDead,
 		State:          n.catalog.State,
 		Lease:          settings.Lease,
 		CallsPerSecond: settings.CallsPerSecond,
@@ -65,7 +65,7 @@
 	n.leader = leader.New(options)
 }
 
-// scalingPolicy returns what is to be kept of upstreams; false while nothing shall be ordered.
+// scalingPolicy returns the policy for the number of upstreams, and false while ordering upstreams is disabled.
 func (n *Node) scalingPolicy() (scaler.Policy, bool) {
 	settings := n.current.Load().Gateway.Duties
 
@@ -74,23 +74,24 @@
 	}, settings.OrderUpstreams
 }
 
-// isCandidate says whether this node is one of those that should take the duties. Only strong nodes do, in an order that
-// all nodes know; it differs from that of the names, so that the duties don't lie where other work does.
-func (n *Node) isCandidate() bool {
-	if n.leaving() > 0 {
+// isDutyCandidate reports whether this node should compete for the duties. The candidates are the first strong nodes in
+// a hash order that is the same on all nodes and differs from the order of the names, so that the duties don't fall to
+// nodes that already have other work.
+func (n *Node) isDutyCandidate() bool {
+	if n.leavingFor() > 0 {
 		return false
 	}
 
-	strong := slices.Clone(n.holders())
+	strong := slices.Clone(n.strongNodes())
 	slices.SortFunc(strong, func(a, b string) int {
 		return cmp.Compare(xxhash.Sum64String("duties"+a), xxhash.Sum64String("duties"+b))
 	})
 
-	return slices.Contains(strong[:min(len(strong), mostCandidates)], n.settings.Node.PeerListen)
+	return slices.Contains(strong[:min(len(strong), maxDutyCandidates)], n.settings.Node.PeerListen)
 }
 
-// answering returns the names of the nodes that may answer: all that aren't dead, this one included.
-func (n *Node) answering() []string {
+// nodesNotDead returns the names of all nodes that may respond, including suspected and leaving ones and this node.
+func (n *Node) nodesNotDead() []string {
 	names := []string{n.settings.Node.PeerListen}
 
 	for _, member := range n.prober.Members() {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,6 +1,6 @@
-// Package gateway runs a node that relays HTTP requests by the routes in the
-// platform's store. It joins the decision packages below it to listeners, peers
-// and upstreams.
+// Package gateway runs a node that relays HTTP requests according to the routes
+// in the platform's store. It connects the decision packages in its
+// subdirectories to listeners, peers and upstreams.
 package gateway
 
 import (
@@ -36,53 +36,56 @@
 )
 
 const (
-	// keyMargin is the part of a key's lifetime after which it is not honoured without a newer proof.
-	keyMargin = 0.9
-	// memoryPart is the part of the VM's memory that the runtime may fill before it collects harder.
-	// The rest is for stacks, buffers of the system and bytes that wait unread in sockets.
-	memoryPart = 0.65
-	// collectPercent is how much the heap may grow between collections. The processor is idle, while
-	// memory is paid for at its peak.
-	collectPercent = 40
-	// bodyPart is the part of the memory that request bodies may take.
-	bodyPart = 0.15
-	// megabyte is the unit of the settings for memory, in bytes.
+	// maxKeyAgeFraction is the fraction of the key lifetime for which API keys are accepted without being confirmed
+	// again.
+	maxKeyAgeFraction = 0.9
+	// memoryLimitFraction is the fraction of the VM's memory that is set as the Go runtime's soft memory limit. The
+	// rest is for stacks, kernel buffers and unread bytes in sockets.
+	memoryLimitFraction = 0.65
+	// gcPercent is the value of GOGC. It is below the default because CPU time is spare, while memory is paid for at
+	// its peak.
+	gcPercent = 40
+	// bodyMemoryFraction is the fraction of the VM's memory that request bodies may use.
+	bodyMemoryFraction = 0.15
+	// megabyte is the number of bytes in the unit of the memory settings.
 	megabyte = 1 << 20
-	// defaultBodyMemory is used where the VM's memory isn't set.
+	// defaultBodyMemory is the number of bytes that request bodies may use if the VM's memory isn't set.
 	defaultBodyMemory = 64 << 20
-	// lastRequests is how long after the begin of a planned stop requests are still taken. Callers keep
-	// an entries answer up to three times as long as it says.
-	lastRequests = 2800 * time.Millisecond
-	// stopPart is the part of the drain time after which the node ends what still runs.
-	stopPart = 0.93
-	// stopTick is how often a stopping node looks whether it may end.
-	stopTick = 50 * time.Millisecond
-	// linkPerCore is the bandwidth in Mbit/s that a node with one core can use: messages of 300 bytes at 40 us each.
-	linkPerCore = 60.0
-	// sweepInterval is the time between two looks at idle connections.
-	sweepInterval = time.Second
+	// leavingGrace is how long the node accepts requests after a planned stop begins. Callers cache an entries
+	// response for up to three times its TTL.
+	leavingGrace = 2800 * time.Millisecond
+	// drainFraction is the fraction of the drain timeout after which the node aborts requests that are still running.
+	drainFraction = 0.93
+	// drainPollInterval is how often a stopping node checks whether it can exit.
+	drainPollInterval = 50 * time.Millisecond
+	// linkMbpsPerCore is the bandwidth in Mbit/s that one core can use: messages of 300 bytes at 40 us each.
+	linkMbpsPerCore = 60.0
+	// staleCheckInterval is the time between two checks for stale idle connections.
+	staleCheckInterval = time.Second
 )
 
-// Protocol is what the gateway speaks to callers, upstreams and the platform beside HTTP itself.
+// Protocol defines the headers, paths and encodings of the platform on top of HTTP.
 type Protocol struct {
 	Headers relayer.Headers
-	// ReadyPath answers 200 while the node takes requests.
+	// ReadyPath responds with 200 while the node accepts requests.
 	ReadyPath string
-	// EntriesPath answers which nodes to use.
+	// EntriesPath responds with the addresses of the nodes to use.
 	EntriesPath string
-	// EncodeEntries makes the answer of EntriesPath.
+	// EncodeEntries returns the response body of EntriesPath; keep is how long callers may cache it.
 	EncodeEntries func(addresses []string, keep time.Duration) ([]byte, error)
 }
 
-// Store is the platform's store, as a node uses it.
+// Store is the part of the platform's store that a node uses.
 type Store interface {
 	follower.Store
 	quarantiner.Recorder
-	// RecordFirstNode records the node as the first one that the deployment ever had; false if there was one before.
+	// RecordFirstNode records the node as the first one that the deployment ever had. It returns false if one is
+	// already recorded.
 	RecordFirstNode(ctx context.Context, name string) (bool, error)
 }
 
-// DutyBackends are the parts for what one node at a time does for all; they are used only where the settings name duties.
+// DutyBackends are the clients for the duties, which one node at a time performs for all nodes. They are used only if
+// the settings enable duties.
 type DutyBackends struct {
 	Store    fencer.Store
 	Platform leader.Platform
@@ -90,7 +93,7 @@
 
 // Node is one running gateway.
 type Node struct {
-	// settings are those of the start; current are the same with what was reloaded since.
+	// settings are the settings at startup; current also includes what was reloaded since.
 	settings loader.Settings
 	current  atomic.Pointer[loader.Settings]
 	protocol Protocol
@@ -104,33 +107,34 @@
 	relayer  *relayer.Relayer
 	acceptor *acceptor.Acceptor
 	budget   *budgeter.Budgeter
-	// apportioner tells this node's part of the extra attempts that all nodes share.
+	// apportioner computes this node's share of the extra attempts that all nodes share.
 	apportioner *apportioner.Apportioner
-	// quarantine keeps requests that crash upstreams from running.
+	// quarantine blocks requests that crash upstreams.
 	quarantine *quarantiner.Quarantiner
 	meter      *meter.Meter
-	// tallier counts the usage of organisations; leader carries out the platform's duties, nil if there are none.
+	// tallier counts usage by organisation; leader performs the platform's duties, nil if there are none.
 	tallier *tallier.Tallier
 	leader  *leader.Leader
-	// attempts counts failed attempts by their result.
+	// attempts counts failed attempts by result.
 	attempts *expvar.Map
 
 	messages   *messenger.Messenger
 	prober     *prober.Prober
 	heartbeats *heartbeater.Heartbeater
-	// starts holds when each listed upstream was born; only followCatalog uses it.
-	starts map[string]int64
-	// store records the first node of the deployment; started says that a registry was seen. Only followCatalog uses them.
-	store   Store
-	started bool
-	// leavingAt is when the planned stop began, by the catalog's clock; 0 before.
+	// startTimes maps the ID of each listed upstream to its start time; only watchCatalog uses it.
+	startTimes map[string]int64
+	// store records the first node of the deployment; registrySeen is set once a registry was received. Only
+	// watchCatalog uses them.
+	store        Store
+	registrySeen bool
+	// leavingAt is when the planned stop began, by the catalog's clock; 0 before that.
 	leavingAt atomic.Int64
 }
 
-// Run serves until ctx ends and the planned stop is over.
+// Run serves requests until ctx is cancelled, then returns when the planned stop has finished.
 func Run(ctx context.Context, settings loader.Settings, store Store, duties DutyBackends, protocol Protocol, logger zerolog.Logger) error {
 	node := newNode(settings, store, protocol, logger)
-	node.addDuties(duties)
+	node.addLeader(duties)
 
 	return node.run(ctx)
 }
@@ -138,11 +142,11 @@
 func newNode(settings loader.Settings, store Store, protocol Protocol, logger zerolog.Logger) *Node {
 	bodyMemory := int64(defaultBodyMemory)
 
-	debug.SetGCPercent(collectPercent)
+	debug.SetGCPercent(gcPercent)
 
 	if limit := settings.Gateway.MemoryMB; limit > 0 {
-		debug.SetMemoryLimit(int64(limit * megabyte * memoryPart))
-		bodyMemory = int64(limit * megabyte * bodyPart)
+		debug.SetMemoryLimit(int64(limit * megabyte * memoryLimitFraction))
+		bodyMemory = int64(limit * megabyte * bodyMemoryFraction)
 	}
 
 	n := &Node{
@@ -150,8 +154,8 @@
 		protocol: protocol,
 		store:    store,
 		logger:   logger,
-		catalog:  cataloguer.New(sinceBoot),
-		dialer:   dialer.New(mostConnections(settings.Gateway.Descriptors)),
+		catalog:  cataloguer.New(bootClock),
+		dialer:   dialer.New(maxConnections(settings.Gateway.Descriptors)),
 		meter:    meter.New(),
 		attempts: new(expvar.Map),
 	}
@@ -163,12 +167,12 @@
 		Retention:  budgeter.Retention(settings.Gateway.RetryWindow),
 		Now:        n.catalog.Now,
 	})
-	n.acceptor = acceptor.New(mostConnections(settings.Gateway.Descriptors), n.callerTimes)
+	n.acceptor = acceptor.New(maxConnections(settings.Gateway.Descriptors), n.callerTimeouts)
 	n.prober = n.newProber()
 	n.messages = messenger.New(messenger.Options{
 		Self:       settings.Node.PeerListen,
 		Credential: settings.Peers.Credential,
-		// Peers are named by their address.
+		// The name of a peer is its address.
 		Joined: func(name string) (string, bool) { return name, true },
 		Logger: logger,
 	})
@@ -180,7 +184,7 @@
 		Share:  func() float64 { return n.apportioner.Share(n.catalog.RegistryAge()) },
 		Now:    n.catalog.Now,
 		Self:   settings.Node.PeerListen,
-		Live:   n.live,
+		Live:   n.liveNodes,
 		Peers:  n.messages,
 		Logger: logger,
 	})
@@ -188,7 +192,7 @@
 
 	n.broker = broker.New(broker.Options{
 		Self:   settings.Node.PeerListen,
-		Live:   n.holders,
+		Live:   n.strongNodes,
 		Peers:  n.messages,
 		Logger: logger,
 	})
@@ -199,10 +203,10 @@
 		Catalog:       n.catalog,
 		Store:         store,
 		Peers:         n.messages,
-		Self:          n.self(),
+		Self:          n.selfEntry(),
 		Seeds:         func() []string { return n.current.Load().Gateway.Seeds },
-		LiveNodes:     n.live,
-		DepartedNodes: n.gone,
+		LiveNodes:     n.liveNodes,
+		DepartedNodes: n.departedNodes,
 		Logger:        logger,
 	})
 	n.messages.Handle(follower.MethodPull, n.follower.HandlePull)
@@ -212,8 +216,8 @@
 
 	n.quarantine = quarantiner.New(quarantiner.Options{
 		Self:     settings.Node.PeerListen,
-		Live:     n.live,
-		Judges:   n.holders,
+		Live:     n.liveNodes,
+		Judges:   n.strongNodes,
 		Peers:    n.messages,
 		IsDown:   n.isDown,
 		Recorder: store,
@@ -235,9 +239,9 @@
 		RetryBudget:    n.budget,
 		Quarantine:     n.quarantine,
 		Usage:          n.tallier,
-		MaxKeyAge:      n.keyFreshness,
-		LeavingFor:     n.leaving,
-		LeavingGrace:   lastRequests,
+		MaxKeyAge:      n.maxKeyAge,
+		LeavingFor:     n.leavingFor,
+		LeavingGrace:   leavingGrace,
 		MaxBodyMemory:  bodyMemory,
 		Meter:          n.meter,
 		FailedAttempts: n.attempts,
@@ -247,18 +251,18 @@
 	return n
 }
 
-// sinceBoot is a clock that goes on while the VM is suspended and that nobody sets.
-func sinceBoot() time.Duration {
+// bootClock returns the time since boot. The clock can't be set and also advances while the VM is suspended.
+func bootClock() time.Duration {
 	var now unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &now); err != nil {
-		// Without the clock nothing can be shown to be fresh; a time in the far future makes all of it old.
+		// Without the clock the age of data is unknown; a time in the far future makes all data count as stale.
 		return math.MaxInt64 / 2
 	}
 
 	return time.Duration(now.Nano())
 }
 
-func (n *Node) self() cataloguer.Node {
+func (n *Node) selfEntry() cataloguer.Node {
 	return cataloguer.Node{
 		Name:          n.settings.Node.PeerListen,
 		Address:       n.settings.Node.Advertise,
@@ -267,17 +271,18 @@
 	}
 }
 
-// capacity compares VMs by the scarcer of processor and link. A core keeps up with some linkPerCore.
+// capacity returns a node's capacity in cores, limited by the scarcer of CPU and network link. One core can handle about
+// linkMbpsPerCore.
 func capacity(settings loader.Gateway) float64 {
 	if settings.LinkMbps == 0 {
 		return settings.Cores
 	}
 
-	return min(settings.Cores, settings.LinkMbps/linkPerCore)
+	return min(settings.Cores, settings.LinkMbps/linkMbpsPerCore)
 }
 
-// leaving is how long ago the planned stop began; 0 before.
-func (n *Node) leaving() time.Duration {
+// leavingFor returns how long ago the planned stop began; 0 before that.
+func (n *Node) leavingFor() time.Duration {
 	at := n.leavingAt.Load()
 	if at == 0 {
 		return 0
@@ -286,7 +291,7 @@
 	return max(n.catalog.Now()-time.Duration(at), 1)
 }
 
-// run serves until ctx ends, then carries out the planned stop.
+// run serves requests until ctx is cancelled, then drains the node.
 func (n *Node) run(ctx context.Context) error {
 	work, stopWork := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopWork()
@@ -298,16 +303,16 @@
 	go n.follower.Run(work)
 	go n.broker.Run(work)
 	go n.quarantine.Run(work)
-	go n.followCatalog(work)
-	go n.sweep(work)
-	go n.watchRetries(work)
+	go n.watchCatalog(work)
+	go n.closeStaleConnections(work)
+	go n.watchRetryBudgets(work)
 	go n.watchReload(work)
 
 	if n.leader != nil {
 		go n.leader.Run(work)
 	}
 
-	servers, failed, err := n.listen(ctx)
+	servers, failed, err := n.startServers(ctx)
 	if err != nil {
 		return err
 	}
@@ -324,16 +329,16 @@
 	case <-ctx.Done():
 	}
 
-	n.stop(servers)
+	n.drain(servers)
 
 	return nil
 }
 
-// followCatalog puts each new state in force.
-func (n *Node) followCatalog(ctx context.Context) {
+// watchCatalog applies each new state of the catalog until ctx is cancelled.
+func (n *Node) watchCatalog(ctx context.Context) {
 	for {
 		changed := n.catalog.Changed()
-		n.apply(ctx, n.catalog.State())
+		n.applyState(ctx, n.catalog.State())
 
 		select {
 		case <-changed:
@@ -343,21 +348,22 @@
 	}
 }
 
-func (n *Node) apply(ctx context.Context, state *cataloguer.State) {
-	n.listMembers(state.Registry.Nodes)
+func (n *Node) applyState(ctx context.Context, state *cataloguer.State) {
+	n.updateMembers(state.Registry.Nodes)
 
-	// Routes without upstreams would only refuse.
+	// Routes without upstreams would reject every request.
 	if !state.HasConfiguration() || state.Registry.Revision == 0 {
 		return
 	}
 
-	if !n.started {
-		n.started = true
-		n.becomeFirst(ctx, state.Registry.Nodes)
+	if !n.registrySeen {
+		n.registrySeen = true
+		n.recordFirstNode(ctx, state.Registry.Nodes)
 	}
 
-	n.forgetRestarted(state.Registry.Upstreams)
-	// A node that just started takes no request before it knows which ones must not run.
+	n.forgetRestartedUpstreams(state.Registry.Upstreams)
+	// The quarantine comes first: a node that has just started must not accept a request before it knows which ones are
+	// quarantined.
 	n.updateQuarantine(state.Registry)
 	n.relayer.UpdateUpstreams(state.Registry.Upstreams)
 	n.broker.Update(state)
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -25,7 +25,7 @@
 	"quincepath.example/quincepath/internal/quarantiner"
 )
 
-// store is a stand-in for the platform's store.
+// store is a fake of the platform's store.
 type store struct {
 	mu       sync.Mutex
 	revision int64
@@ -109,26 +109,26 @@
 // Release implements quarantiner.Recorder.
 func (s *store) Release(context.Context, []quarantiner.Key) error { return nil }
 
-// host is an address of the loopback network that no other test uses.
-func host(number int) string {
+// loopbackIP returns a loopback address that no other test process uses.
+func loopbackIP(number int) string {
 	pid := os.Getpid()
 
 	return fmt.Sprintf("127.%d.%d.%d", 100+pid>>16&63, pid>>8&255, (pid&63)<<2+number)
 }
 
-func start(t *testing.T, s gateway.Store, number int) (settings loader.Settings, stop context.CancelFunc, ended chan error) {
+func startWithEntries(t *testing.T, s gateway.Store, number int) (settings loader.Settings, stop context.CancelFunc, ended chan error) {
 	t.Helper()
 
-	settings = settingsOf(number)
-	stop, ended = run(t, s, settings, func(addresses []string, _ time.Duration) ([]byte, error) {
+	settings = nodeSettings(number)
+	stop, ended = runNode(t, s, settings, func(addresses []string, _ time.Duration) ([]byte, error) {
 		return json.Marshal(addresses)
 	})
 
 	return settings, stop, ended
 }
 
-func settingsOf(number int) loader.Settings {
-	ip := host(number)
+func nodeSettings(number int) loader.Settings {
+	ip := loopbackIP(number)
 	settings := loader.Defaults()
 	settings.Node.Name = fmt.Sprint("n", number)
 	settings.Node.FailureDomain = "d"
@@ -141,8 +141,8 @@
 	return settings
 }
 
-// run starts a node whose answers for entries are made by encode.
-func run(t *testing.T, s gateway.Store, settings loader.Settings, encode func([]string, time.Duration) ([]byte, error)) (stop context.CancelFunc, ended chan error) {
+// runNode starts a node whose entries responses are encoded by encode.
+func runNode(t *testing.T, s gateway.Store, settings loader.Settings, encode func([]string, time.Duration) ([]byte, error)) (stop context.CancelFunc, ended chan error) {
 	t.Helper()
 
 	ctx, stop := context.WithCancel(context.Background())
@@ -184,15 +184,15 @@
 	return response.StatusCode, string(body), response.Close
 }
 
-// until waits for a condition; the test's own limit ends a vain wait.
-func until(condition func() bool) {
+// waitUntil waits for a condition. If it never holds, the test times out.
+func waitUntil(condition func() bool) {
 	for !condition() {
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// Symptom of what this guards: a planned stop cuts requests, or callers go on coming to a node that is gone.
-// Sequence: two nodes serve; one is told to stop while it has a request in flight and callers know it.
+// Guards against a planned stop that aborts requests or leaves callers with the address of a stopped node: one of two nodes
+// is stopped while it has a request in flight and callers have its address.
 func TestPlannedStopOfOneOfTwoNodes(t *testing.T) {
 	release := make(chan struct{})
 	arrived := make(chan struct{}, 1)
@@ -210,11 +210,11 @@
 	t.Cleanup(upstream.Close)
 
 	s := &store{revision: 1, address: upstream.Listener.Addr().String()}
-	first, stopFirst, firstEnded := start(t, s, 1)
-	second, stopSecond, secondEnded := start(t, s, 2)
+	first, stopFirst, firstEnded := startWithEntries(t, s, 1)
+	second, stopSecond, secondEnded := startWithEntries(t, s, 2)
 
 	both := fmt.Sprintf(`["%s","%s"]`, first.Node.Advertise, second.Node.Advertise)
-	until(func() bool {
+	waitUntil(func() bool {
 		_, entries, _ := get(first.Gateway.EntriesListen, "/entries")
 		_, others, _ := get(second.Gateway.EntriesListen, "/entries")
 
@@ -235,15 +235,15 @@
 	<-arrived
 	stopFirst()
 
-	// It is not ready at once, and the other node names only itself.
-	until(func() bool {
+	// The node stops being ready immediately, and the other node lists only itself.
+	waitUntil(func() bool {
 		status, _, _ := get(first.Gateway.ReadyListen, "/ready")
 		_, entries, _ := get(second.Gateway.EntriesListen, "/entries")
 
 		return status == http.StatusServiceUnavailable && entries == fmt.Sprintf(`["%s"]`, second.Node.Advertise)
 	})
 
-	// Callers that still know it are served, and told to use another connection.
+	// Callers that still use its address are served, with Connection: close.
 	status, _, closing := get(first.Node.Listen, "/fast")
 	assert.Equal(t, status, http.StatusOK)
 	assert.Assert(t, closing)
@@ -262,11 +262,10 @@
 	assert.NilError(t, <-secondEnded)
 }
 
-// Symptom: a change of the settings file has no effect until the node is restarted.
-// Sequence: the file changes without a signal, then it is spoilt, then it changes again.
-// Cause: settings were read at the start only.
+// Guards against settings that are read only at startup, so that a change of their file needs a restart. The file changes
+// without a signal, then becomes invalid, then changes again.
 func TestSettingsAreReadAgainWhenTheirFileChanges(t *testing.T) {
-	settings := settingsOf(1)
+	settings := nodeSettings(1)
 	settings.Path = filepath.Join(t.TempDir(), "node.yaml")
 
 	write := func(lifetime string) {
@@ -276,11 +275,11 @@
 
 	write("1s")
 
-	stop, ended := run(t, &store{revision: 1}, settings, func(_ []string, keep time.Duration) ([]byte, error) {
+	stop, ended := runNode(t, &store{revision: 1}, settings, func(_ []string, keep time.Duration) ([]byte, error) {
 		return []byte(keep.String()), nil
 	})
 
-	told := func(lifetime string) func() bool {
+	serves := func(lifetime string) func() bool {
 		return func() bool {
 			_, body, _ := get(settings.Gateway.EntriesListen, "/entries")
 
@@ -288,12 +287,12 @@
 		}
 	}
 
-	until(told("1s"))
+	waitUntil(serves("1s"))
 	write("2s")
-	until(told("2s"))
+	waitUntil(serves("2s"))
 	write("long")
 	write("3s # and a comment, so that its size differs")
-	until(told("3s"))
+	waitUntil(serves("3s"))
 	stop()
 	assert.NilError(t, <-ended)
 }
--- a/internal/gateway/members.go
+++ b/internal/gateway/membership.go
@@ -15,14 +15,15 @@
 )
 
 const (
-	// emptyListAge is the greatest age of an empty list of nodes by which a node may be the first one.
-	emptyListAge = 2 * time.Second
-	// firstTimeout bounds the write that makes it so.
-	firstTimeout = 300 * time.Millisecond
+	// maxEmptyListAge is the maximum age of an empty node list at which a node may record itself as the first one.
+	maxEmptyListAge = 2 * time.Second
+	// firstNodeTimeout limits the write that records the first node.
+	firstNodeTimeout = 300 * time.Millisecond
 )
 
-// goneTime is how long a node is dead before its entry is removed from the store: longer than any restart of a VM.
-const goneTime = 10 * time.Minute
+// departureTime is how long a node must be dead before its entry is removed from the store. It is longer than any
+// restart of a VM.
+const departureTime = 10 * time.Minute
 
 func (n *Node) newProber() *prober.Prober {
 	node := n.settings.Node
@@ -36,14 +37,14 @@
 	options.Incarnation = time.Now().UnixMilli()
 	options.Seed = xxhash.Sum64String(node.PeerListen) ^ uint64(time.Now().UnixNano())
 	options.Fill = func() prober.Digest {
-		return prober.Digest{Leaving: n.leaving() > 0, Revision: n.catalog.State().Configuration.Version}
+		return prober.Digest{Leaving: n.leavingFor() > 0, Revision: n.catalog.State().Configuration.Version}
 	}
 
 	return prober.New(options)
 }
 
-// listMembers tells the prober which nodes may exist.
-func (n *Node) listMembers(nodes []cataloguer.Node) {
+// updateMembers passes the listed nodes to the prober and the apportioner.
+func (n *Node) updateMembers(nodes []cataloguer.Node) {
 	vms := make([]prober.VM, 0, len(nodes))
 	names := make([]string, 0, len(nodes))
 
@@ -61,20 +62,21 @@
 	n.apportioner.Update(names)
 }
 
-// becomeFirst makes this node the first one of its deployment if nobody is or was listed. It may then use its part of what nodes
-// share at once. That is settled before requests are taken, since the first ones would else do without.
-func (n *Node) becomeFirst(ctx context.Context, listed []cataloguer.Node) {
+// recordFirstNode records this node as the first one of its deployment if no node is or was listed. It can then use its
+// share of the retry budget immediately. This happens before requests are accepted, since the first ones would otherwise
+// have no retry budget.
+func (n *Node) recordFirstNode(ctx context.Context, listed []cataloguer.Node) {
 	age, known := n.catalog.RegistryAge()
-	if len(listed) > 0 || !known || age > emptyListAge {
+	if len(listed) > 0 || !known || age > maxEmptyListAge {
 		return
 	}
 
-	// One of them is enough; hundreds of nodes that start together would else make as many writes.
+	// Only seeds try; otherwise hundreds of nodes that start together would make as many writes.
 	if seeds := n.current.Load().Gateway.Seeds; len(seeds) > 0 && !slices.Contains(seeds, n.settings.Node.PeerListen) {
 		return
 	}
 
-	ctx, cancel := context.WithTimeout(ctx, firstTimeout)
+	ctx, cancel := context.WithTimeout(ctx, firstNodeTimeout)
 	defer cancel()
 
 	first, err := n.store.RecordFirstNode(ctx, n.settings.Node.PeerListen)
@@ -90,8 +92,8 @@
 	}
 }
 
-// live returns the names of the nodes that answer and stay, this one included.
-func (n *Node) live() []string {
+// liveNodes returns the names of the nodes that respond and are not leaving, including this one.
+func (n *Node) liveNodes() []string {
 	names := []string{n.settings.Node.PeerListen}
 
 	for _, member := range n.prober.Live(time.Now()) {
@@ -103,9 +105,9 @@
 	return names
 }
 
-// gone returns the names of nodes that have been dead for so long that they won't come back. A node that
-// reaches nobody knows of none.
-func (n *Node) gone() []string {
+// departedNodes returns the names of nodes that have been dead for so long that they are not expected to return. An
+// isolated node returns none, since all others appear dead to it.
+func (n *Node) departedNodes() []string {
 	now := time.Now()
 	if n.prober.Isolated(now) {
 		return nil
@@ -114,7 +116,7 @@
 	var names []string
 
 	for _, member := range n.prober.Members() {
-		if member.State == prober.Dead && now.Sub(member.Since) > goneTime {
+		if member.State == prober.Dead && now.Sub(member.Since) > departureTime {
 			names = append(names, member.Name)
 		}
 	}
@@ -122,14 +124,14 @@
 	return names
 }
 
-// holders returns the live nodes that are strong enough to decide for others. A weak node that decides
-// for a large pool answers late, and all others would wait for it before they go on alone.
-func (n *Node) holders() []string {
-	live := n.live()
+// strongNodes returns the live nodes with enough capacity to decide for others. A weak node that decides for a large
+// pool responds late, and all others would wait for it before they continue alone.
+func (n *Node) strongNodes() []string {
+	live := n.liveNodes()
 	strong, _ := cataloguer.SplitByCapacity(live, n.catalog.State().Registry.Nodes)
 
-	// One that leaves is not live but still counts itself.
-	if n.leaving() > 0 {
+	// liveNodes always includes this node, also while it is leaving.
+	if n.leavingFor() > 0 {
 		strong = slices.DeleteFunc(strong, func(name string) bool { return name == n.settings.Node.PeerListen })
 	}
 
@@ -140,8 +142,8 @@
 	return strong
 }
 
-// entries returns the addresses that callers should use, this node's own among them unless it leaves.
-func (n *Node) entries() []string {
+// entryAddresses returns the addresses that callers should use. It includes this node's own address while it is ready.
+func (n *Node) entryAddresses() []string {
 	var addresses []string
 
 	if n.ready() {
@@ -159,7 +161,7 @@
 	return addresses
 }
 
-// joinFleet answers peers and probes them until ctx ends.
+// joinFleet starts to serve peers and to exchange heartbeats with them until ctx is cancelled.
 func (n *Node) joinFleet(ctx context.Context) error {
 	listener, err := new(net.ListenConfig).Listen(ctx, "tcp", n.settings.Node.PeerListen)
 	if err != nil {
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -8,29 +8,29 @@
 	"quincepath.example/quincepath/internal/meter"
 )
 
-// MetricsPath answers all counters as one JSON object.
+// MetricsPath is the path that returns all metrics as one JSON object.
 const MetricsPath = "/debug/vars"
 
-// beliefs tell what the node holds for true and since when.
-type beliefs struct {
-	// Version is that of the configuration in force.
+// catalogMetrics describes the node's view of the configuration, the registry and the fleet.
+type catalogMetrics struct {
+	// Version is the version of the configuration in force.
 	Version int64 `json:"version"`
-	// AgeMS is the age of the proof that it is the newest; negative without one.
+	// AgeMS is the time since the configuration was last confirmed as current; negative if it never was.
 	AgeMS int64 `json:"age_ms"`
-	// Revision is that of the registry.
+	// Revision is the revision of the registry.
 	Revision  int64 `json:"revision"`
 	Upstreams int   `json:"upstreams"`
-	// Kept is the number of upstreams that are believed in after an outage although the store lacks them.
-	Kept int `json:"kept"`
-	// Unreadable is the number of entries of the registry that named nobody.
-	Unreadable int `json:"unreadable"`
-	Nodes      int `json:"nodes"`
-	Live       int `json:"live"`
+	// RetainedUpstreams is the number of upstreams that are retained after a store outage although the store no longer lists them.
+	RetainedUpstreams int `json:"kept"`
+	// UnreadableEntries is the number of registry entries that could not be decoded.
+	UnreadableEntries int `json:"unreadable"`
+	Nodes             int `json:"nodes"`
+	Live              int `json:"live"`
 }
 
 func (n *Node) metrics() http.Handler {
 	parts := map[string]meter.Part{
-		"beliefs":     func() any { return n.beliefs() },
+		"beliefs":     func() any { return n.catalogMetrics() },
 		"follower":    func() any { return n.follower.Counters() },
 		"attempts":    func() any { return n.failedAttempts() },
 		"avoided":     func() any { return n.relayer.AvoidedUpstreams() },
@@ -50,7 +50,7 @@
 	return meter.Handler(n.meter, parts)
 }
 
-func (n *Node) beliefs() beliefs {
+func (n *Node) catalogMetrics() catalogMetrics {
 	state := n.catalog.State()
 	age := -time.Millisecond
 
@@ -58,15 +58,15 @@
 		age = known
 	}
 
-	return beliefs{
-		Version:    state.Configuration.Version,
-		AgeMS:      age.Milliseconds(),
-		Revision:   state.Registry.Revision,
-		Upstreams:  len(state.Registry.Upstreams),
-		Kept:       state.Registry.RetainedUpstreams,
-		Unreadable: state.Registry.UnreadableEntries,
-		Nodes:      len(state.Registry.Nodes),
-		Live:       len(n.live()),
+	return catalogMetrics{
+		Version:           state.Configuration.Version,
+		AgeMS:             age.Milliseconds(),
+		Revision:          state.Registry.Revision,
+		Upstreams:         len(state.Registry.Upstreams),
+		RetainedUpstreams: state.Registry.RetainedUpstreams,
+		UnreadableEntries: state.Registry.UnreadableEntries,
+		Nodes:             len(state.Registry.Nodes),
+		Live:              len(n.liveNodes()),
 	}
 }
 
--- a/internal/gateway/reloading.go
+++ b/internal/gateway/reload.go
@@ -11,26 +11,26 @@
 	"quincepath.example/quincepath/internal/loader"
 )
 
-// reloadInterval is the time between two looks at the settings file. It may change without a signal.
+// reloadInterval is the time between two checks of the settings file, which may change without a signal.
 const reloadInterval = 2 * time.Second
 
-// fileState tells whether a file was written since.
+// fileState is used to detect whether a file has changed.
 type fileState struct {
 	modified time.Time
 	bytes    int64
 }
 
-func stateOf(path string) fileState {
+func statFile(path string) fileState {
 	info, err := os.Stat(path)
 	if err != nil {
-		// A file that is being replaced may be away for a moment; the next look finds it.
+		// A file that is being replaced may be missing for a moment; the next check finds it.
 		return fileState{}
 	}
 
 	return fileState{modified: info.ModTime(), bytes: info.Size()}
 }
 
-// watchReload reads the settings again on SIGHUP and when their file has changed, until ctx ends.
+// watchReload reloads the settings on SIGHUP and when their file has changed, until ctx is cancelled.
 func (n *Node) watchReload(ctx context.Context) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
@@ -39,17 +39,17 @@
 	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
 
-	// The file may have changed since the start read it, so the first look reads it again.
-	var known fileState
+	// The file may have changed since it was read at startup, so the first check always reloads it.
+	var lastState fileState
 
 	for {
 		select {
 		case <-signals:
-			known = stateOf(n.settings.Path)
+			lastState = statFile(n.settings.Path)
 			n.reload("signal")
 		case <-ticker.C:
-			if found := stateOf(n.settings.Path); found != known && found != (fileState{}) {
-				known = found
+			if state := statFile(n.settings.Path); state != lastState && state != (fileState{}) {
+				lastState = state
 				n.reload("file_changed")
 			}
 		case <-ctx.Done():
@@ -58,8 +58,8 @@
 	}
 }
 
-// reload reads the settings file and puts in force what can change while the node runs. A file with an error
-// changes nothing: the node goes on with what it has.
+// reload reads the settings file and applies the settings that can change at runtime. If the file is invalid, the
+// current settings stay in force.
 func (n *Node) reload(trigger string) {
 	if n.settings.Path == "" {
 		return
@@ -72,22 +72,22 @@
 		return
 	}
 
-	former := n.current.Load()
-	next := adopt(*former, loaded)
+	previous := n.current.Load()
+	next := applyReloadable(*previous, loaded)
 	n.current.Store(&next)
 	n.budget.SetBounds(next.Gateway.RetryRatio, next.Gateway.RetryExtra)
 
 	n.logger.Info().
 		Str("trigger", trigger).
 		Str("file", n.settings.Path).
-		Bool("changed", !reflect.DeepEqual(next, *former)).
+		Bool("changed", !reflect.DeepEqual(next, *previous)).
 		Bool("needs_restart", !reflect.DeepEqual(next, loaded)).
 		Msg("settings_reloaded")
 }
 
-// adopt returns the settings with those of the loaded ones that can change while the node runs. Addresses, the
-// node's name, its credential and the VM's size need a restart.
-func adopt(settings, loaded loader.Settings) loader.Settings {
+// applyReloadable returns settings with the values from loaded that can change at runtime. Changes of addresses, of the
+// node's name, of its credential and of the VM's size require a restart.
+func applyReloadable(settings, loaded loader.Settings) loader.Settings {
 	settings.Node.HeaderTimeout = loaded.Node.HeaderTimeout
 	settings.Node.DrainTimeout = loaded.Node.DrainTimeout
 	settings.Node.EntryLifetime = loaded.Node.EntryLifetime
@@ -103,7 +103,7 @@
 	return settings
 }
 
-// keyFreshness is the age of what is known of keys up to which they are honoured.
-func (n *Node) keyFreshness() time.Duration {
-	return time.Duration(float64(n.current.Load().Gateway.KeyLifetime) * keyMargin)
+// maxKeyAge returns the maximum age of the configuration at which API keys are accepted.
+func (n *Node) maxKeyAge() time.Duration {
+	return time.Duration(float64(n.current.Load().Gateway.KeyLifetime) * maxKeyAgeFraction)
 }
--- /dev/null
+++ b/internal/gateway/servers.go
@@ -0,0 +1,189 @@
+package gateway
+
+import (
+	"context"
+	"net"
+	"net/http"
+	"time"
+
+	"github.com/cockroachdb/errors"
+
+	"quincepath.example/quincepath/internal/gateway/acceptor"
+)
+
+const (
+	// defaultIdleTimeout is how long a caller's connection may be idle if the operators' configuration sets no timeout.
+	defaultIdleTimeout = 40 * time.Second
+	// maxHeaderBytes limits the memory used to read a request header. The operators' limit is checked once the header
+	// is complete.
+	maxHeaderBytes = 1 << 20
+	// reservedDescriptors is the number of file descriptors kept for files, the store, peers and requests for entries.
+	reservedDescriptors = 400
+	// callerConnectionFraction is the fraction of the other descriptors for callers' connections. Connections to
+	// upstreams get as many, since a running request needs one of each.
+	callerConnectionFraction = 0.5
+	// defaultDescriptors is used if the VM's descriptor limit isn't set; it is the usual limit of a login session.
+	defaultDescriptors = 1024
+	// probeHeaderTimeout limits the time to read the header of a request for entries, readiness or metrics.
+	probeHeaderTimeout = 5 * time.Second
+)
+
+// startServers starts the servers for callers' requests, entries, readiness and metrics. It returns them with the
+// callers' server first, and a channel that receives the errors of servers that fail.
+func (n *Node) startServers(ctx context.Context) ([]*http.Server, <-chan error, error) {
+	probes := http.NewServeMux()
+	probes.HandleFunc("GET "+n.protocol.ReadyPath, n.handleReady)
+	probes.HandleFunc("GET "+n.protocol.EntriesPath, n.handleEntries)
+
+	// The acceptor enforces the timeouts of callers' connections.
+	callers := &http.Server{Handler: n.relayer, MaxHeaderBytes: maxHeaderBytes}
+	ready := &http.Server{Handler: probes, ReadHeaderTimeout: probeHeaderTimeout}
+	entries := &http.Server{Handler: probes, ReadHeaderTimeout: probeHeaderTimeout}
+
+	servers := map[*http.Server]string{
+		callers: n.settings.Node.Listen,
+		ready:   n.settings.Gateway.ReadyListen,
+		entries: n.settings.Gateway.EntriesListen,
+	}
+
+	if address := n.settings.Gateway.MetricsListen; address != "" {
+		mux := http.NewServeMux()
+		mux.Handle("GET "+MetricsPath, n.metrics())
+		servers[&http.Server{Handler: mux, ReadHeaderTimeout: probeHeaderTimeout}] = address
+	}
+
+	failed := make(chan error, len(servers))
+
+	for server, address := range servers {
+		listener, err := new(net.ListenConfig).Listen(ctx, "tcp", address)
+		if err != nil {
+			return nil, nil, errors.Wrapf(err, "listen on %s", address)
+		}
+
+		go func() {
+			serve := server.Serve
+			if server == callers {
+				serve = func(l net.Listener) error { return n.acceptor.Serve(callers, l) }
+			}
+
+			if err := serve(listener); !errors.Is(err, http.ErrServerClosed) {
+				failed <- err
+			}
+		}()
+	}
+
+	// drain shuts the first server down before the others.
+	order := []*http.Server{callers}
+
+	for server := range servers {
+		if server != callers {
+			order = append(order, server)
+		}
+	}
+
+	return order, failed, nil
+}
+
+// maxConnections returns the maximum number of connections from callers, which is also the maximum number of
+// connections to upstreams, for a process with the given descriptor limit.
+func maxConnections(descriptors int) int {
+	if descriptors == 0 {
+		descriptors = defaultDescriptors
+	}
+
+	return int(callerConnectionFraction * float64(max(descriptors-reservedDescriptors, 2)))
+}
+
+// callerTimeouts returns the timeouts of callers' connections: those of the operators' configuration, or the node's
+// defaults until it has been received.
+func (n *Node) callerTimeouts() acceptor.Times {
+	times := acceptor.Times{Header: n.current.Load().Node.HeaderTimeout, Idle: defaultIdleTimeout}
+
+	table := n.table.Load()
+	if table == nil {
+		return times
+	}
+
+	if table.Limits.HeaderTimeout > 0 {
+		times.Header = table.Limits.HeaderTimeout
+	}
+
+	if table.Limits.IdleTimeout > 0 {
+		times.Idle = table.Limits.IdleTimeout
+	}
+
+	return times
+}
+
+// ready reports whether the node accepts requests.
+func (n *Node) ready() bool {
+	return n.leavingFor() == 0 && n.table.Load() != nil
+}
+
+func (n *Node) handleReady(w http.ResponseWriter, _ *http.Request) {
+	if !n.ready() {
+		w.WriteHeader(http.StatusServiceUnavailable)
+
+		return
+	}
+
+	w.WriteHeader(http.StatusOK)
+}
+
+func (n *Node) handleEntries(w http.ResponseWriter, _ *http.Request) {
+	addresses := n.entryAddresses()
+	if len(addresses) == 0 {
+		w.WriteHeader(http.StatusServiceUnavailable)
+
+		return
+	}
+
+	body, err := n.protocol.EncodeEntries(addresses, n.current.Load().Node.EntryLifetime)
+	if err != nil {
+		n.logger.Error().Err(err).Msg("entries_not_encoded")
+		w.WriteHeader(http.StatusInternalServerError)
+
+		return
+	}
+
+	w.Header().Set("Content-Type", "application/json")
+	// A failed write means that the caller has disconnected.
+	_, _ = w.Write(body)
+}
+
+// drain performs the planned stop: the node removes itself from the entries immediately, accepts requests while callers
+// may still have its address cached, and returns when nothing is in flight or drainFraction of the drain timeout is over.
+func (n *Node) drain(servers []*http.Server) {
+	n.leavingAt.Store(int64(n.catalog.Now()))
+	n.heartbeats.Leave()
+	n.logger.Info().Int64("in_flight", n.relayer.InFlight()).Msg("node_stopping")
+
+	limit := time.Duration(float64(n.current.Load().Node.DrainTimeout) * drainFraction)
+	closed := false
+
+	for n.leavingFor() < limit {
+		if n.leavingFor() >= leavingGrace {
+			if !closed {
+				closed = true
+				// Shutdown closes the listener and idle connections. The cancelled context keeps it from waiting for
+				// responses in progress.
+				cancelled, cancel := context.WithCancel(context.Background())
+				cancel()
+
+				_ = servers[0].Shutdown(cancelled)
+			}
+
+			if n.relayer.InFlight() == 0 {
+				break
+			}
+		}
+
+		time.Sleep(drainPollInterval)
+	}
+
+	n.logger.Info().Int64("in_flight", n.relayer.InFlight()).Dur("took_ms", n.leavingFor()).Msg("node_stopped")
+
+	for _, server := range servers {
+		_ = server.Close()
+	}
+}
--- a/internal/gateway/upstreams.go
+++ b/internal/gateway/upstreams.go
@@ -25,33 +25,34 @@
 	return n.dialer.IsDown(ctx, dialer.Upstream{ID: upstream, Address: address})
 }
 
-// forgetRestarted drops what is known of upstreams that started again under their id. Only followCatalog calls it.
-func (n *Node) forgetRestarted(upstreams []cataloguer.Upstream) {
-	starts := make(map[string]int64, len(upstreams))
+// forgetRestartedUpstreams discards the state of upstreams that restarted under the same ID. Only watchCatalog calls it.
+func (n *Node) forgetRestartedUpstreams(upstreams []cataloguer.Upstream) {
+	startTimes := make(map[string]int64, len(upstreams))
 	restarted := make(map[string]bool)
 
 	for _, upstream := range upstreams {
-		starts[upstream.ID] = upstream.Born
+		startTimes[upstream.ID] = upstream.Born
 
-		if former, known := n.starts[upstream.ID]; known && former != upstream.Born {
-			n.logger.Info().Str("upstream", upstream.ID).Int64("born", upstream.Born).Int64("former", former).Msg("upstream_restarted")
+		if previous, known := n.startTimes[upstream.ID]; known && previous != upstream.Born {
+			n.logger.Info().Str("upstream", upstream.ID).Int64("born", upstream.Born).Int64("former", previous).Msg("upstream_restarted")
 			n.relayer.ForgetUpstream(upstream.ID)
 
 			restarted[upstream.ID] = true
 		}
 	}
 
-	n.starts = starts
+	n.startTimes = startTimes
 
-	// One that went away without a word leaves its connections open, and each would cost a request its time.
+	// An upstream that went away without closing its connections leaves them open here, and each would delay a request.
 	if len(restarted) > 0 {
 		n.dialer.CloseStale(func(id string) bool { return !restarted[id] })
 	}
 }
 
-// sweep closes connections that are of no more use.
-func (n *Node) sweep(ctx context.Context) {
-	ticker := time.NewTicker(sweepInterval)
+// closeStaleConnections closes idle connections that have expired or whose upstream is no longer listed, until ctx is
+// cancelled.
+func (n *Node) closeStaleConnections(ctx context.Context) {
+	ticker := time.NewTicker(staleCheckInterval)
 	defer ticker.Stop()
 
 	for {
