--- a/internal/lister/lister.go
+++ b/internal/lister/lister.go
@@ -23,34 +23,34 @@
 	Suspect bool
 	// Leaving nodes are left out while any other is known.
 	Leaving bool
-	// Load is the use of the node in percent; more load means fewer callers.
-	Load int
+	// LoadPercent is the use of the node in percent; more load means fewer callers.
+	LoadPercent int
 }
 
-// Holders names the nodes that hold the pools of a service; callers of the service do best there.
-type Holders interface {
-	Holders(service string) []string
+// HolderLookup names the nodes that hold the pools of a service; callers of the service do best there.
+type HolderLookup interface {
+	HoldersOf(service string) []string
 }
 
 // Options are the fixed parameters of a Lister.
 type Options struct {
-	// Max bounds the entries of an answer; 0 means 8.
-	Max int
-	// Lifetime is how long a caller keeps an answer.
-	Lifetime time.Duration
+	// MaxEntries bounds the entries of an answer; 0 means 8.
+	MaxEntries int
+	// EntryLifetime is how long a caller keeps an answer.
+	EntryLifetime time.Duration
 	// Seed makes the order repeatable.
 	Seed uint64
 	// Holders may be nil.
-	Holders Holders
-	// SteerBelow is the load in percent up to which a holder is named first to all
+	Holders HolderLookup
+	// FullSteeringLoad is the load in percent up to which a holder is named first to all
 	// callers of its services; 0 means 50. From there to SteerNone ever fewer are.
-	SteerBelow int
-	// SteerNone is the load from which a holder is not preferred; 0 means 90.
-	SteerNone int
+	FullSteeringLoad int
+	// NoSteeringLoad is the load from which a holder is not preferred; 0 means 90.
+	NoSteeringLoad int
 }
 
-// Ask is what a caller tells about itself; both may be empty.
-type Ask struct {
+// Caller is what a caller tells about itself; both may be empty.
+type Caller struct {
 	Service       string
 	FailureDomain string
 }
@@ -62,11 +62,11 @@
 	FailureDomain string
 }
 
-// Answer is an ordered list, best first, never longer than Options.Max.
-type Answer struct {
+// EntryList is an ordered list, best first, never longer than Options.Max.
+type EntryList struct {
 	Entries []Entry
-	// Keep is how long the caller may keep the answer.
-	Keep time.Duration
+	// Lifetime is how long the caller may keep the answer.
+	Lifetime time.Duration
 }
 
 const (
@@ -88,16 +88,16 @@
 
 // New returns a Lister.
 func New(options Options) *Lister {
-	if options.Max <= 0 {
-		options.Max = defaultMax
+	if options.MaxEntries <= 0 {
+		options.MaxEntries = defaultMax
 	}
 
-	if options.SteerBelow <= 0 {
-		options.SteerBelow = defaultSteerBelow
+	if options.FullSteeringLoad <= 0 {
+		options.FullSteeringLoad = defaultSteerBelow
 	}
 
-	if options.SteerNone <= 0 {
-		options.SteerNone = defaultSteerNone
+	if options.NoSteeringLoad <= 0 {
+		options.NoSteeringLoad = defaultSteerNone
 	}
 
 	return &Lister{options: options, random: rand.New(rand.NewPCG(options.Seed, options.Seed))}
@@ -115,19 +115,19 @@
 }
 
 // List returns the answer for one caller. The nodes include this one; none may be dead.
-func (l *Lister) List(ask Ask, nodes []Node) Answer {
+func (l *Lister) List(caller Caller, nodes []Node) EntryList {
 	usable := withoutLeaving(nodes)
 	candidates := l.draw(usable)
 
-	chosen := l.prefer(ask, candidates)
+	chosen := l.prefer(caller, candidates)
 	chosen = append(chosen, spread(candidates, chosen)...)
 
 	// Stable: among nodes of equal standing the order made above stays.
 	slices.SortStableFunc(chosen, func(a, b *candidate) int { return compareBool(a.Suspect, b.Suspect) })
 
-	answer := Answer{Keep: l.options.Lifetime, Entries: make([]Entry, 0, l.options.Max)}
+	answer := EntryList{Lifetime: l.options.EntryLifetime, Entries: make([]Entry, 0, l.options.MaxEntries)}
 
-	for _, c := range chosen[:min(len(chosen), l.options.Max)] {
+	for _, c := range chosen[:min(len(chosen), l.options.MaxEntries)] {
 		answer.Entries = append(answer.Entries, Entry{Node: c.Name, Address: c.Address, FailureDomain: c.FailureDomain})
 	}
 
@@ -158,7 +158,7 @@
 
 	candidates := make([]*candidate, 0, len(nodes))
 	for _, n := range nodes {
-		candidates = append(candidates, &candidate{Node: n, key: l.random.ExpFloat64() / room(n.Load), steered: l.steers(n.Load)})
+		candidates = append(candidates, &candidate{Node: n, key: l.random.ExpFloat64() / room(n.LoadPercent), steered: l.steers(n.LoadPercent)})
 	}
 
 	slices.SortFunc(candidates, func(a, b *candidate) int { return cmp.Compare(a.key, b.key) })
@@ -175,7 +175,7 @@
 // seconds old and answers kept longer; so their share falls with the load, and
 // the load settles where the share fits. The caller holds l.mu.
 func (l *Lister) steers(load int) bool {
-	below, none := l.options.SteerBelow, l.options.SteerNone
+	below, none := l.options.FullSteeringLoad, l.options.NoSteeringLoad
 	if load < below {
 		return true
 	}
@@ -189,14 +189,14 @@
 }
 
 // prefer picks up to half of the answer: nodes that hold the service's pools, else nodes of the caller's failure domain.
-func (l *Lister) prefer(ask Ask, candidates []*candidate) []*candidate {
+func (l *Lister) prefer(caller Caller, candidates []*candidate) []*candidate {
 	var holders []string
-	if ask.Service != "" && l.options.Holders != nil {
-		holders = l.options.Holders.Holders(ask.Service)
+	if caller.Service != "" && l.options.Holders != nil {
+		holders = l.options.Holders.HoldersOf(caller.Service)
 	}
 
 	held := func(c *candidate) bool { return c.steered && slices.Contains(holders, c.Name) }
-	near := func(c *candidate) bool { return ask.FailureDomain != "" && c.FailureDomain == ask.FailureDomain }
+	near := func(c *candidate) bool { return caller.FailureDomain != "" && c.FailureDomain == caller.FailureDomain }
 
 	chosen := l.take(nil, candidates, func(c *candidate) bool { return held(c) && near(c) })
 	chosen = l.take(chosen, candidates, held)
@@ -206,7 +206,7 @@
 
 func (l *Lister) take(chosen, candidates []*candidate, fits func(*candidate) bool) []*candidate {
 	for _, c := range candidates {
-		if len(chosen) >= max(l.options.Max/2, 1) {
+		if len(chosen) >= max(l.options.MaxEntries/2, 1) {
 			break
 		}
 
--- a/internal/lister/lister_test.go
+++ b/internal/lister/lister_test.go
@@ -27,18 +27,18 @@
 
 type holders map[string][]string
 
-func (h holders) Holders(service string) []string { return h[service] }
+func (h holders) HoldersOf(service string) []string { return h[service] }
 
 func TestLister_Balance(t *testing.T) {
 	const callers = 5000
 
 	for _, count := range []int{3, 9, 30, 100, 370} {
-		l := lister.New(lister.Options{Lifetime: 10 * time.Second, Seed: 1})
+		l := lister.New(lister.Options{EntryLifetime: 10 * time.Second, Seed: 1})
 		first := make(map[string]int)
 		list := nodes(count, min(count, 12))
 
 		for range callers {
-			first[l.List(lister.Ask{}, list).Entries[0].Node]++
+			first[l.List(lister.Caller{}, list).Entries[0].Node]++
 		}
 
 		share := float64(callers) / float64(count)
@@ -57,11 +57,11 @@
 func TestLister_LoadedNodesGetFewerCallers(t *testing.T) {
 	l := lister.New(lister.Options{Seed: 1})
 	list := nodes(3, 3)
-	list[0].Load = 75
+	list[0].LoadPercent = 75
 	first := make(map[string]int)
 
 	for range 9000 {
-		first[l.List(lister.Ask{}, list).Entries[0].Node]++
+		first[l.List(lister.Caller{}, list).Entries[0].Node]++
 	}
 
 	// A quarter of the room beside two whole ones: a ninth of the callers.
@@ -73,12 +73,12 @@
 
 	for _, tt := range []struct {
 		name  string
-		ask   lister.Ask
+		ask   lister.Caller
 		first []string
 	}{
-		{name: "holders first", ask: lister.Ask{Service: "assistente"}, first: []string{"entry-004", "entry-007"}},
-		{name: "a holder in the caller's domain before others", ask: lister.Ask{Service: "assistente", FailureDomain: "domain-1"}, first: []string{"entry-004", "entry-007"}},
-		{name: "the caller's domain", ask: lister.Ask{FailureDomain: "domain-2"}, first: []string{"entry-002", "entry-005", "entry-008"}},
+		{name: "holders first", ask: lister.Caller{Service: "assistente"}, first: []string{"entry-004", "entry-007"}},
+		{name: "a holder in the caller's domain before others", ask: lister.Caller{Service: "assistente", FailureDomain: "domain-1"}, first: []string{"entry-004", "entry-007"}},
+		{name: "the caller's domain", ask: lister.Caller{FailureDomain: "domain-2"}, first: []string{"entry-002", "entry-005", "entry-008"}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			for range 50 {
@@ -108,12 +108,12 @@
 		list := nodes(count, domains)
 
 		for i := range list {
-			list[i].Load = rapid.IntRange(0, 150).Draw(t, "load")
+			list[i].LoadPercent = rapid.IntRange(0, 150).Draw(t, "load")
 			list[i].Leaving = rapid.IntRange(0, 5).Draw(t, "leaving") == 0
 			list[i].Suspect = rapid.IntRange(0, 5).Draw(t, "suspect") == 0
 		}
 
-		answer := l.List(lister.Ask{Service: "s", FailureDomain: "domain-0"}, list)
+		answer := l.List(lister.Caller{Service: "s", FailureDomain: "domain-0"}, list)
 		possible := domainsOf(list)
 		given := make(map[string]bool)
 		names := make(map[string]bool)
@@ -161,7 +161,7 @@
 	list[2].Suspect = true
 
 	for range 100 {
-		answer := l.List(lister.Ask{FailureDomain: "domain-2"}, list)
+		answer := l.List(lister.Caller{FailureDomain: "domain-2"}, list)
 		assert.Equal(t, len(answer.Entries), 5)
 		assert.Equal(t, answer.Entries[4].Node, "entry-002")
 
@@ -180,7 +180,7 @@
 	list[0].Leaving = true
 	list[1].Leaving = true
 
-	assert.Equal(t, len(l.List(lister.Ask{}, list).Entries), 2)
+	assert.Equal(t, len(l.List(lister.Caller{}, list).Entries), 2)
 }
 
 func BenchmarkLister_List(b *testing.B) {
@@ -188,6 +188,6 @@
 	list := nodes(370, 12)
 
 	for b.Loop() {
-		l.List(lister.Ask{FailureDomain: "domain-3"}, list)
+		l.List(lister.Caller{FailureDomain: "domain-3"}, list)
 	}
 }
--- a/internal/lister/steering_test.go
+++ b/internal/lister/steering_test.go
@@ -64,7 +64,7 @@
 	c.reports = append(c.reports, c.inside)
 
 	for i, inside := range c.reports[max(0, now-reportedSeconds)] {
-		c.nodes[i].Load = int(100 * inside / c.places)
+		c.nodes[i].LoadPercent = int(100 * inside / c.places)
 		c.inside[i] -= c.inside[i] / answerSeconds
 	}
 
@@ -73,7 +73,7 @@
 
 		for caller := range c.entry[s] {
 			if now == 0 || (now+caller)%keptSeconds == 0 {
-				first := c.list.List(lister.Ask{Service: service}, c.nodes).Entries[0].Node
+				first := c.list.List(lister.Caller{Service: service}, c.nodes).Entries[0].Node
 				c.entry[s][caller] = slices.IndexFunc(c.nodes, func(n lister.Node) bool { return n.Name == first })
 			}
 
@@ -115,7 +115,7 @@
 		var refused float64
 
 		for _, below := range []int{1000, 80, 60, 0} {
-			steered[places], refused = newCrowd(lister.Options{SteerBelow: below}, places).minute()
+			steered[places], refused = newCrowd(lister.Options{FullSteeringLoad: below}, places).minute()
 			t.Logf("%.0f places, steered below %d: %.3f to a holder, %.3f refused", places, below, steered[places], refused)
 		}
 
--- a/internal/server/entries.go
+++ b/internal/server/entries.go
@@ -28,14 +28,14 @@
 		return
 	}
 
-	ask := lister.Ask{Service: r.URL.Query().Get("service"), FailureDomain: r.URL.Query().Get("failure_domain")}
-	writeJSON(w, n.entries(ask))
+	caller := lister.Caller{Service: r.URL.Query().Get("service"), FailureDomain: r.URL.Query().Get("failure_domain")}
+	writeJSON(w, n.entries(caller))
 }
 
 // entries lists the nodes that this caller is to use.
-func (n *Node) entries(ask lister.Ask) entriesAnswer {
-	list := n.lister.List(ask, n.entryNodes())
-	answer := entriesAnswer{KeepSeconds: list.Keep.Seconds()}
+func (n *Node) entries(caller lister.Caller) entriesAnswer {
+	list := n.lister.List(caller, n.entryNodes())
+	answer := entriesAnswer{KeepSeconds: list.Lifetime.Seconds()}
 
 	for _, entry := range list.Entries {
 		answer.Entries = append(answer.Entries, entryAddress{
@@ -57,7 +57,7 @@
 		Address:       n.settings.Node.Advertise,
 		FailureDomain: n.settings.Node.FailureDomain,
 		Leaving:       n.drain.ShouldCloseConnections(),
-		Load:          n.loadPercent(),
+		LoadPercent:   n.loadPercent(),
 	}}
 
 	for _, member := range n.members.view.Load().all {
@@ -71,15 +71,15 @@
 			FailureDomain: member.FailureDomain,
 			Suspect:       member.State != prober.Live,
 			Leaving:       member.Leaving,
-			Load:          member.Digest.Load,
+			LoadPercent:   member.Digest.Load,
 		})
 	}
 
 	return nodes
 }
 
-// Holders implements lister.Holders: callers of a service do best where its pools are held.
-func (n *Node) Holders(service string) []string {
+// HoldersOf implements lister.HolderLookup: callers of a service do best where its pools are held.
+func (n *Node) HoldersOf(service string) []string {
 	if n.router == nil || n.settings.Routing.Policy != loader.PolicyQueueSteered {
 		return nil
 	}
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -138,7 +138,7 @@
 	}
 
 	node.members = node.newMembers()
-	node.lister = lister.New(lister.Options{Lifetime: settings.Node.EntryLifetime, Seed: identity.seed(), Holders: node})
+	node.lister = lister.New(lister.Options{EntryLifetime: settings.Node.EntryLifetime, Seed: identity.seed(), Holders: node})
 
 	if err := node.connect(); err != nil {
 		stopWork()
