--- a/internal/limiter/awaits_test.go
+++ b/internal/limiter/awaits_test.go
@@ -17,7 +17,7 @@
 		return ok
 	}
 	awaits := func(c *cluster, n *node) bool {
-		return n.limiter.Awaits(c.now, testKey.Service, testKey.Organisation, "chat")
+		return n.limiter.ShouldWaitForLease(c.now, testKey.Service, testKey.Organisation, "chat")
 	}
 	none := func(string) int { return 0 }
 
@@ -43,7 +43,7 @@
 			assert.Assert(t, admit(c, n))
 			assert.Assert(t, awaits(c, n))
 
-			for range int(n.limiter.options.Period/tick) + int(n.limiter.options.Period/tick)/roundsPerPeriod {
+			for range int(n.limiter.options.ReportPeriod/tick) + int(n.limiter.options.ReportPeriod/tick)/roundsPerPeriod {
 				c.step(none, second, 0)
 			}
 
--- a/internal/limiter/bytes_test.go
+++ b/internal/limiter/bytes_test.go
@@ -122,16 +122,16 @@
 }
 
 func (f *traffic) exchange(n *node) {
-	for name, keys := range n.owner.Asks(f.now) {
-		f.nodes[name].limiter.Ask(f.now, keys)
+	for name, keys := range n.owner.ReportRequests(f.now) {
+		f.nodes[name].limiter.RequestReports(f.now, keys)
 
 		if name != n.name {
-			f.count(MethodAsk, askParams{keys}, askResult{})
+			f.count(MethodRequestReports, askParams{keys}, askResult{})
 		}
 	}
 
-	for name, demands := range n.limiter.Reports(f.now) {
-		shares := make([]Share, len(demands))
+	for name, demands := range n.limiter.DueReports(f.now) {
+		shares := make([]LeaseReply, len(demands))
 
 		for i, demand := range demands {
 			shares[i], _ = f.nodes[name].owner.Report(f.now, n.name, demand)
@@ -142,7 +142,7 @@
 
 		if name != n.name {
 			f.reports += len(demands)
-			f.count(MethodReport, reportParams{demands[0].Incarnation, demands[0].Known, demands}, reportResult{shares})
+			f.count(MethodReport, reportParams{demands[0].Incarnation, demands[0].KnownNodes, demands}, reportResult{shares})
 		}
 	}
 }
--- a/internal/limiter/cluster_test.go
+++ b/internal/limiter/cluster_test.go
@@ -138,7 +138,7 @@
 	}
 }
 
-// changed lets each node learn of the present members at its own time within Settle.
+// changed lets each node learn of the present members at its own time within MaxDetectionTime.
 func (c *cluster) changed() {
 	members := c.names()
 
@@ -214,17 +214,17 @@
 
 // ask sends a node's questions as an owner.
 func (c *cluster) ask(n *node) {
-	for name, keys := range n.owner.Asks(c.now) {
+	for name, keys := range n.owner.ReportRequests(c.now) {
 		c.send(n.name, name, func() {
 			if target := c.nodes[name]; target != nil && !c.now.Before(target.frozen) {
-				target.limiter.Ask(c.now, keys)
+				target.limiter.RequestReports(c.now, keys)
 			}
 		})
 	}
 }
 
 func (c *cluster) exchange(n *node) {
-	for owner, demands := range n.limiter.Reports(c.now) {
+	for owner, demands := range n.limiter.DueReports(c.now) {
 		c.send(n.name, owner, func() {
 			target := c.nodes[owner]
 			if target == nil || c.now.Before(target.frozen) {
@@ -241,9 +241,9 @@
 	}
 }
 
-func (c *cluster) apply(n *node, share Share) {
+func (c *cluster) apply(n *node, share LeaseReply) {
 	if !c.now.Before(n.frozen) {
-		n.limiter.Apply(c.now, []Share{share})
+		n.limiter.Apply(c.now, []LeaseReply{share})
 	}
 }
 
--- a/internal/limiter/cuts_test.go
+++ b/internal/limiter/cuts_test.go
@@ -123,9 +123,9 @@
 // Cause: the owner goes by its old books, or takes the report for all there is to know.
 func TestOwnerWaitsForWhatItDoesNotKnow(t *testing.T) {
 	options := Options{}.withDefaults()
-	demand := Demand{Key: testKey, Incarnation: 1, Known: 1, Wants: Amounts{Concurrency: 5}}
-	report := func(o *Owner, now time.Time) (Share, bool) {
-		demand.Number++
+	demand := Demand{Key: testKey, Incarnation: 1, KnownNodes: 1, Wanted: Amounts{Concurrency: 5}}
+	report := func(o *Owner, now time.Time) (LeaseReply, bool) {
+		demand.Sequence++
 
 		return o.Report(now, "a", demand)
 	}
@@ -136,18 +136,18 @@
 
 		share, ok := report(o, start)
 		assert.Assert(t, ok)
-		assert.Equal(t, share.Lent.Concurrency > 0, known == demand.Known)
+		assert.Equal(t, share.Leased.Concurrency > 0, known == demand.KnownNodes)
 
-		frozen := start.Add(options.Settle + time.Second)
+		frozen := start.Add(options.MaxDetectionTime + time.Second)
 		_, ok = report(o, frozen)
 		assert.Assert(t, !ok, "it doesn't know yet whether it still is the owner")
 
-		_, ok = report(o, frozen.Add(options.Settle))
+		_, ok = report(o, frozen.Add(options.MaxDetectionTime))
 		assert.Assert(t, ok)
 	}
 }
 
-// longestAnswer bounds the requests of the tests above; it is what Options.RunFor allows for.
+// longestAnswer bounds the requests of the tests above; it is what Options.MaxRunAfterLease allows for.
 const longestAnswer = 25 * time.Second
 
 // hold lets all nodes send more than the limit for a time and checks what runs at
--- a/internal/limiter/demand.go
+++ b/internal/limiter/demand.go
@@ -32,7 +32,7 @@
 // renewal; an owner that needs the share for another node asks for it.
 func (e *entry) due(now time.Time, options Options, view *view) bool {
 	// A report before the answer to the last one would make that answer stale.
-	if !e.silentSince.IsZero() && now.Sub(e.sentAt) < options.Period {
+	if !e.silentSince.IsZero() && now.Sub(e.sentAt) < options.ReportPeriod {
 		return false
 	}
 
@@ -46,7 +46,7 @@
 	case e.holds() && now.Sub(e.renewedAt) >= options.renewAfter():
 		return true
 	case float64(e.told.inFlight) > e.lent.Concurrency && e.beyond(base) < e.told.inFlight:
-		return now.Sub(e.sentAt) >= options.Period
+		return now.Sub(e.sentAt) >= options.ReportPeriod
 	}
 
 	e.silentSince = time.Time{}
@@ -93,7 +93,7 @@
 	passed := now.Sub(e.measuredAt)
 	urgent := e.refused && !e.holds()
 
-	if passed < options.Period/roundsPerPeriod || (passed < options.Period && !urgent) {
+	if passed < options.ReportPeriod/roundsPerPeriod || (passed < options.ReportPeriod && !urgent) {
 		return
 	}
 
@@ -145,23 +145,23 @@
 	e.sent = told{wants: e.need(base), inFlight: e.beyond(base)}
 
 	return Demand{
-		Key:      key,
-		Number:   e.number,
-		Received: e.received,
-		Wants:    e.sent.wants,
-		Held:     e.lent,
-		InFlight: e.sent.inFlight,
+		Key:          key,
+		Sequence:     e.number,
+		Acknowledged: e.received,
+		Wanted:       e.sent.wants,
+		Held:         e.lent,
+		InFlight:     e.sent.inFlight,
 	}
 }
 
 // apply takes the answer to the last report. A smaller share is acknowledged with
 // a further report: until then the owner counts the larger one.
-func (e *entry) apply(share Share, options Options, even Amounts) {
-	e.received = share.Number
+func (e *entry) apply(share LeaseReply, options Options, even Amounts) {
+	e.received = share.Sequence
 	e.silentSince = time.Time{}
-	e.asked = e.lent.minus(share.Lent).matters(even)
+	e.asked = e.lent.minus(share.Leased).matters(even)
 	e.told = e.sent
-	e.lent = share.Lent
+	e.lent = share.Leased
 	e.renewedAt = e.sentAt
-	e.leaseEnds = e.sentAt.Add(options.LeaseFor)
+	e.leaseEnds = e.sentAt.Add(options.LeaseDuration)
 }
--- a/internal/limiter/entry.go
+++ b/internal/limiter/entry.go
@@ -162,7 +162,7 @@
 // is not so from an even part of the limit on, nor while the owner doesn't answer.
 func (e *entry) awaits(now time.Time, options Options, view *view) bool {
 	full := e.limits.Concurrency > 0 && float64(e.inFlight) >= e.allowed.Concurrency
-	unanswered := !e.silentSince.IsZero() && now.Sub(e.silentSince) >= options.Period
+	unanswered := !e.silentSince.IsZero() && now.Sub(e.silentSince) >= options.ReportPeriod
 
 	if !full || unanswered || e.lent.Concurrency > 0 || float64(e.inFlight) >= max(view.even(now, e.limits).Concurrency, 1) {
 		return false
@@ -184,7 +184,7 @@
 		e.blocked++
 		e.refused = true
 
-		return classifier.ConcurrencyLimited, options.Period
+		return classifier.ConcurrencyLimited, options.ReportPeriod
 	}
 
 	if e.limits.Tokens > 0 && e.balance <= 0 {
@@ -207,18 +207,18 @@
 // return as one crowd, of which one gets in.
 func (e *entry) promise(now time.Time, options Options) time.Duration {
 	step := time.Duration(float64(time.Second) / e.likely(e.allowed.Requests, e.limits.Requests))
-	latest := now.Add(options.LongestRetryAfter)
+	latest := now.Add(options.MaxRetryAfter)
 
 	if e.promised.Before(now) {
 		e.promised = now
 	}
 
-	e.promised = e.promised.Add(min(step, options.LongestRetryAfter))
+	e.promised = e.promised.Add(min(step, options.MaxRetryAfter))
 	if e.promised.After(latest) {
 		e.promised = latest
 	}
 
-	return max(e.promised.Sub(now), options.Period)
+	return max(e.promised.Sub(now), options.ReportPeriod)
 }
 
 // likely is the rate to expect: a node without a lease will have one after its next report.
@@ -231,9 +231,9 @@
 }
 
 func (e *entry) wait(seconds float64, options Options) time.Duration {
-	seconds = min(seconds, options.LongestRetryAfter.Seconds())
+	seconds = min(seconds, options.MaxRetryAfter.Seconds())
 
-	return max(time.Duration(seconds*float64(time.Second)), options.Period)
+	return max(time.Duration(seconds*float64(time.Second)), options.ReportPeriod)
 }
 
 func (e *entry) take(now time.Time) {
@@ -257,7 +257,7 @@
 
 // forgettable says whether a new entry would be no more generous than this one.
 func (e *entry) forgettable(now time.Time, options Options) bool {
-	if e.inFlight > 0 || e.asked || e.holds() || now.Sub(e.lastUsed) < options.Forget {
+	if e.inFlight > 0 || e.asked || e.holds() || now.Sub(e.lastUsed) < options.EvictAfter {
 		return false
 	}
 
--- a/internal/limiter/lease.go
+++ b/internal/limiter/lease.go
@@ -201,14 +201,14 @@
 
 // update takes a demand in and returns false when a later one is known.
 func (l *lease) update(now time.Time, demand Demand, options Options) bool {
-	if demand.Incarnation == l.incarnation && demand.Number <= l.number {
+	if demand.Incarnation == l.incarnation && demand.Sequence <= l.number {
 		return false
 	}
 
 	held := l.counted(now, options)
 	heldExpires := later(l.expires, l.formerExpires)
 
-	if demand.Incarnation == l.incarnation && l.number > 0 && demand.Received == l.number {
+	if demand.Incarnation == l.incarnation && l.number > 0 && demand.Acknowledged == l.number {
 		held = l.current(now)
 		heldExpires = l.expires
 	}
@@ -216,16 +216,16 @@
 	// Another owner may have lent it; it ends before one that begins now.
 	if demand.Held.minus(held) != (Amounts{}) {
 		held = held.atLeast(demand.Held)
-		heldExpires = now.Add(options.LeaseFor)
+		heldExpires = now.Add(options.LeaseDuration)
 	}
 
 	l.former, l.formerExpires = held, heldExpires
 	l.incarnation = demand.Incarnation
-	l.number = demand.Number
-	l.wants = demand.Wants
+	l.number = demand.Sequence
+	l.wants = demand.Wanted
 	l.inFlight = demand.InFlight
 	// Report grants anew at once; until then the demand counts among the others.
-	l.expires = later(l.expires, now.Add(options.Period))
+	l.expires = later(l.expires, now.Add(options.ReportPeriod))
 
 	return true
 }
@@ -245,7 +245,7 @@
 }
 
 // counted is the most that the node may hold or have running. What it may have
-// running lasts RunFor longer than what it may hold.
+// running lasts MaxRunAfterLease longer than what it may hold.
 func (l *lease) counted(now time.Time, options Options) Amounts {
 	held := l.current(now)
 
@@ -253,11 +253,11 @@
 		held = held.atLeast(l.former)
 	}
 
-	if now.Before(l.expires.Add(options.RunFor)) {
+	if now.Before(l.expires.Add(options.MaxRunAfterLease)) {
 		held.Concurrency = max(held.Concurrency, l.lent.Concurrency, float64(l.inFlight))
 	}
 
-	if now.Before(l.formerExpires.Add(options.RunFor)) {
+	if now.Before(l.formerExpires.Add(options.MaxRunAfterLease)) {
 		held.Concurrency = max(held.Concurrency, l.former.Concurrency)
 	}
 
--- a/internal/limiter/limiter.go
+++ b/internal/limiter/limiter.go
@@ -76,8 +76,8 @@
 	}
 }
 
-// Ask makes the next reports hold the keys, whatever they are used for here.
-func (l *Limiter) Ask(now time.Time, keys []Key) {
+// RequestReports makes the next reports hold the keys, whatever they are used for here.
+func (l *Limiter) RequestReports(now time.Time, keys []Key) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
@@ -88,11 +88,11 @@
 	}
 }
 
-// Awaits says whether a request would be refused only since the node has no lease
+// ShouldWaitForLease says whether a request would be refused only since the node has no lease
 // yet, while it asks for one: the request may then wait for the answer, for a
 // period at most. Refused at once, it would meet a limit of which its
 // organisation uses next to nothing, whenever a few callers come to a quiet node.
-func (l *Limiter) Awaits(now time.Time, service, organisation, class string) bool {
+func (l *Limiter) ShouldWaitForLease(now time.Time, service, organisation, class string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
@@ -153,8 +153,8 @@
 	}
 }
 
-// Refused returns the number of refusals by reason since the start.
-func (l *Limiter) Refused() map[string]int64 {
+// RefusalCounts returns the number of refusals by reason since the start.
+func (l *Limiter) RefusalCounts() map[string]int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
@@ -199,9 +199,9 @@
 	return e
 }
 
-// Reports returns the reports that are due, by the node that owns the limits.
+// DueReports returns the reports that are due, by the node that owns the limits.
 // It also drops limits that were not used for a while.
-func (l *Limiter) Reports(now time.Time) map[string][]Demand {
+func (l *Limiter) DueReports(now time.Time) map[string][]Demand {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
@@ -227,7 +227,7 @@
 		l.number++
 		demand := e.report(now, key, l.number, &l.view)
 		demand.Incarnation = l.incarnation
-		demand.Known = l.known
+		demand.KnownNodes = l.known
 		reports[e.owner] = append(reports[e.owner], demand)
 	}
 
@@ -235,13 +235,13 @@
 }
 
 // Apply takes the owner's answers. An answer to any but the last report is dropped.
-func (l *Limiter) Apply(now time.Time, shares []Share) {
+func (l *Limiter) Apply(now time.Time, shares []LeaseReply) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
 	for _, share := range shares {
 		e := l.entries[share.Key]
-		if e == nil || share.Number != e.number {
+		if e == nil || share.Sequence != e.number {
 			continue
 		}
 
--- a/internal/limiter/limiter_test.go
+++ b/internal/limiter/limiter_test.go
@@ -47,7 +47,7 @@
 			refusal, ok := admit(start)
 			assert.Assert(t, !ok)
 			assert.Equal(t, refusal.Code, tt.code)
-			assert.Equal(t, l.Refused()[tt.code.String()], int64(1))
+			assert.Equal(t, l.RefusalCounts()[tt.code.String()], int64(1))
 
 			l.Done(start, testKey.Service, testKey.Organisation, "chat", 0)
 
@@ -100,10 +100,10 @@
 	l.Admit(start, testKey.Service, testKey.Organisation, "chat")
 	l.Done(start, testKey.Service, testKey.Organisation, "chat", 1000)
 
-	l.Reports(start.Add(time.Minute))
+	l.DueReports(start.Add(time.Minute))
 	assert.Equal(t, len(l.entries), 1, "a debt is not forgotten")
 
-	l.Reports(start.Add(3 * time.Minute))
+	l.DueReports(start.Add(3 * time.Minute))
 	assert.Equal(t, len(l.entries), 0)
 }
 
--- a/internal/limiter/owner.go
+++ b/internal/limiter/owner.go
@@ -13,7 +13,7 @@
 //   - A smaller lease counts at its old size until the node says that it knows, or
 //     the old lease ends. A node counts its lease from before its report, the
 //     owner from its answer, so the owner's ends later and no clocks are compared.
-//   - The concurrency of a silent node counts for Options.RunFor longer, since
+//   - The concurrency of a silent node counts for Options.MaxRunAfterLease longer, since
 //     requests run on.
 //   - A new owner lends no more than nodes say they hold, and one whose view of the
 //     nodes changed no more than by the smallest lately, until all known nodes
@@ -85,10 +85,10 @@
 
 // noticeFreeze forgets all leases after a pause that others may have noticed.
 func (o *Owner) noticeFreeze(now time.Time) {
-	if now.Sub(o.seen) > o.options.Settle {
+	if now.Sub(o.seen) > o.options.MaxDetectionTime {
 		o.epoch++
 		o.changed = now
-		o.quietUntil = now.Add(o.options.Settle)
+		o.quietUntil = now.Add(o.options.MaxDetectionTime)
 		clear(o.leases)
 	}
 
@@ -101,14 +101,14 @@
 
 // Report takes a node's demand and returns its lease. It returns false when this
 // node doesn't own the limit in its own view, knows a later report, or was frozen.
-func (o *Owner) Report(now time.Time, node string, demand Demand) (Share, bool) {
+func (o *Owner) Report(now time.Time, node string, demand Demand) (LeaseReply, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 
 	o.noticeFreeze(now)
 
 	if now.Before(o.quietUntil) || !o.owns(demand.Key) {
-		return Share{}, false
+		return LeaseReply{}, false
 	}
 
 	s := o.leases[demand.Key]
@@ -119,10 +119,10 @@
 
 	l := s.of(node)
 	if !l.update(now, demand, o.options) {
-		return Share{}, false
+		return LeaseReply{}, false
 	}
 
-	if demand.Known == o.known {
+	if demand.KnownNodes == o.known {
 		s.hear(node, o.epoch, o.live, o.known)
 	}
 
@@ -134,10 +134,10 @@
 	}
 
 	lent = lent.whole().brief()
-	l.grant(now, lent, o.options.LeaseFor)
+	l.grant(now, lent, o.options.LeaseDuration)
 	s.unsettled = true
 
-	return Share{Key: demand.Key, Number: demand.Number, Lent: lent}, true
+	return LeaseReply{Key: demand.Key, Sequence: demand.Sequence, Leased: lent}, true
 }
 
 // pool is what may be lent of a limit.
@@ -149,10 +149,10 @@
 	return o.view.pool(now, limits)
 }
 
-// Asks returns the limits that nodes are to report on, by node, so that some
+// ReportRequests returns the limits that nodes are to report on, by node, so that some
 // node that wants more can have it: those who hold more than their part, those
 // who may have more, and all who have not reported since the nodes changed.
-func (o *Owner) Asks(now time.Time) map[string][]Key {
+func (o *Owner) ReportRequests(now time.Time) map[string][]Key {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 
@@ -169,7 +169,7 @@
 			continue
 		}
 
-		s.nextAsk = now.Add(o.options.Period)
+		s.nextAsk = now.Add(o.options.ReportPeriod)
 
 		for _, node := range o.toAsk(now, s, o.source.Limits(key)) {
 			if asks == nil {
--- a/internal/limiter/rpc.go
+++ b/internal/limiter/rpc.go
@@ -14,8 +14,8 @@
 const (
 	// MethodReport is the name of the message from a node to an owner of limits.
 	MethodReport = "limit.report"
-	// MethodAsk is the name of that by which an owner asks for reports.
-	MethodAsk = "limit.ask"
+	// MethodRequestReports is the name of that by which an owner asks for reports.
+	MethodRequestReports = "limit.ask"
 )
 
 // Caller sends a message to a node and waits for its answer.
@@ -31,7 +31,7 @@
 
 // reportResult has a share for each demand, in the same order.
 type reportResult struct {
-	Shares []Share `json:"shares"`
+	Shares []LeaseReply `json:"shares"`
 }
 
 type askParams struct {
@@ -50,15 +50,15 @@
 
 	for i := range report.Demands {
 		report.Demands[i].Incarnation = report.Incarnation
-		report.Demands[i].Known = report.Known
+		report.Demands[i].KnownNodes = report.Known
 	}
 
 	return reportResult{Shares: o.reportAll(from, report.Demands)}, nil
 }
 
-func (o *Owner) reportAll(from string, demands []Demand) []Share {
+func (o *Owner) reportAll(from string, demands []Demand) []LeaseReply {
 	now := time.Now()
-	shares := make([]Share, 0, len(demands))
+	shares := make([]LeaseReply, 0, len(demands))
 
 	for _, demand := range demands {
 		share, _ := o.Report(now, from, demand)
@@ -68,21 +68,21 @@
 	return shares
 }
 
-// HandleAsk answers MethodAsk from an owner of limits.
-func (l *Limiter) HandleAsk(_ context.Context, _ string, params json.RawMessage) (any, error) {
+// HandleReportRequest answers MethodAsk from an owner of limits.
+func (l *Limiter) HandleReportRequest(_ context.Context, _ string, params json.RawMessage) (any, error) {
 	var ask askParams
 
 	if err := json.Unmarshal(params, &ask); err != nil {
 		return nil, classifier.Wrap(err, classifier.InvalidRequest, "a question about limits can't be read")
 	}
 
-	l.Ask(time.Now(), ask.Keys)
+	l.RequestReports(time.Now(), ask.Keys)
 
 	return askResult{}, nil
 }
 
 // applyAll takes the shares that answer the demands.
-func (l *Limiter) applyAll(demands []Demand, shares []Share) {
+func (l *Limiter) applyAll(demands []Demand, shares []LeaseReply) {
 	shares = shares[:min(len(shares), len(demands))]
 
 	for i := range shares {
@@ -93,12 +93,12 @@
 }
 
 // Exchange asks for the reports that the local owner needs, sends those that are
-// due and applies the answers. It is to be called every quarter of Options.Period;
+// due and applies the answers. It is to be called every quarter of Options.ReportPeriod;
 // each call ends within that time, so that one silent owner doesn't delay the
 // others. The error is for the log: the limiter itself allows for owners that
 // don't answer.
 func (l *Limiter) Exchange(ctx context.Context, caller Caller, local *Owner) error {
-	ctx, cancel := context.WithTimeout(ctx, l.options.Period/roundsPerPeriod)
+	ctx, cancel := context.WithTimeout(ctx, l.options.ReportPeriod/roundsPerPeriod)
 	defer cancel()
 
 	var (
@@ -121,17 +121,17 @@
 		return false
 	}
 
-	for node, keys := range local.Asks(time.Now()) {
+	for node, keys := range local.ReportRequests(time.Now()) {
 		if node == l.self {
-			l.Ask(time.Now(), keys)
+			l.RequestReports(time.Now(), keys)
 
 			continue
 		}
 
-		group.Go(func() { call(node, MethodAsk, askParams{Keys: keys}, &askResult{}) })
+		group.Go(func() { call(node, MethodRequestReports, askParams{Keys: keys}, &askResult{}) })
 	}
 
-	for owner, demands := range l.Reports(time.Now()) {
+	for owner, demands := range l.DueReports(time.Now()) {
 		if owner == l.self {
 			l.applyAll(demands, local.reportAll(l.self, demands))
 
@@ -141,7 +141,7 @@
 		group.Go(func() {
 			var result reportResult
 
-			params := reportParams{Incarnation: demands[0].Incarnation, Known: demands[0].Known, Demands: demands}
+			params := reportParams{Incarnation: demands[0].Incarnation, Known: demands[0].KnownNodes, Demands: demands}
 			if call(owner, MethodReport, params, &result) {
 				l.applyAll(demands, result.Shares)
 			}
--- a/internal/limiter/rpc_test.go
+++ b/internal/limiter/rpc_test.go
@@ -89,7 +89,7 @@
 
 		time.Sleep(time.Second)
 
-		_, err = l.HandleAsk(t.Context(), "b", json.RawMessage(`{"keys":[{"service":"assistente","organisation":"catania"}]}`))
+		_, err = l.HandleReportRequest(t.Context(), "b", json.RawMessage(`{"keys":[{"service":"assistente","organisation":"catania"}]}`))
 		assert.NilError(t, err)
 		assert.ErrorContains(t, l.Exchange(t.Context(), calls, local), "no answer")
 		assert.Assert(t, time.Since(started) <= 1250*time.Millisecond)
--- a/internal/limiter/shares_test.go
+++ b/internal/limiter/shares_test.go
@@ -214,7 +214,7 @@
 			c.step(arrivals, second, 0)
 		}
 	}
-	lease := other.limiter.options.LeaseFor
+	lease := other.limiter.options.LeaseDuration
 
 	steps(lease / 2)
 	assert.Assert(t, other.limiter.Allowed(c.now, testKey).Requests >= 0.9*lent, "the last share is kept for a while")
@@ -295,7 +295,7 @@
 				count := 0
 
 				for _, n := range c.nodes {
-					for _, times := range n.limiter.Refused() {
+					for _, times := range n.limiter.RefusalCounts() {
 						count += int(times)
 					}
 				}
@@ -337,7 +337,7 @@
 	reports := 0
 
 	for ; now.Before(start.Add(5 * time.Minute)); now = now.Add(time.Second) {
-		demands := l.Reports(now)[l.entries[testKey].owner]
+		demands := l.DueReports(now)[l.entries[testKey].owner]
 		if len(demands) == 0 {
 			assert.Assert(t, now.Sub(reported) < l.options.renewAfter(), "second %s", now.Sub(start))
 
@@ -348,20 +348,20 @@
 		reports++
 
 		// The owner takes the lease back only when the node has been idle for long.
-		l.Apply(now, []Share{{Key: testKey, Number: demands[0].Number, Lent: Amounts{Concurrency: 4}}})
+		l.Apply(now, []LeaseReply{{Key: testKey, Sequence: demands[0].Sequence, Leased: Amounts{Concurrency: 4}}})
 	}
 
 	assert.Assert(t, reports <= 16, "%d reports in five minutes without use", reports)
 
-	l.Ask(now, []Key{testKey})
-	returned := l.Reports(now)[l.entries[testKey].owner]
-	l.Apply(now, []Share{{Key: testKey, Number: returned[0].Number}})
+	l.RequestReports(now, []Key{testKey})
+	returned := l.DueReports(now)[l.entries[testKey].owner]
+	l.Apply(now, []LeaseReply{{Key: testKey, Sequence: returned[0].Sequence}})
 
-	acknowledged := l.Reports(now.Add(time.Second))[l.entries[testKey].owner]
-	assert.Equal(t, acknowledged[0].Received, returned[0].Number, "until it hears that the node knows, the owner counts the lease")
-	l.Apply(now, []Share{{Key: testKey, Number: acknowledged[0].Number}})
+	acknowledged := l.DueReports(now.Add(time.Second))[l.entries[testKey].owner]
+	assert.Equal(t, acknowledged[0].Acknowledged, returned[0].Sequence, "until it hears that the node knows, the owner counts the lease")
+	l.Apply(now, []LeaseReply{{Key: testKey, Sequence: acknowledged[0].Sequence}})
 
-	assert.Equal(t, len(l.Reports(now.Add(time.Minute))), 0)
+	assert.Equal(t, len(l.DueReports(now.Add(time.Minute))), 0)
 }
 
 // Symptom: a node goes by a lease that its owner has given to another.
@@ -372,11 +372,11 @@
 	owner := NewOwner(start, Options{}, fixedLimits(limits), "a")
 	owner.SetNodes(start, []string{"a"}, 2)
 
-	demand := Demand{Key: testKey, Incarnation: 1, Number: 2, Wants: Amounts{Requests: 5}}
+	demand := Demand{Key: testKey, Incarnation: 1, Sequence: 2, Wanted: Amounts{Requests: 5}}
 	_, ok := owner.Report(start, "b", demand)
 	assert.Assert(t, ok)
 
-	demand.Number = 1
+	demand.Sequence = 1
 	_, ok = owner.Report(start, "b", demand)
 	assert.Assert(t, !ok)
 
@@ -391,13 +391,13 @@
 		}
 
 		now = now.Add(time.Second)
-		assert.Equal(t, len(l.Reports(now)), 1)
+		assert.Equal(t, len(l.DueReports(now)), 1)
 	}
 
 	before := l.Allowed(now, testKey)
-	l.Apply(now, []Share{{Key: testKey, Number: 1, Lent: Amounts{Requests: 50}}})
+	l.Apply(now, []LeaseReply{{Key: testKey, Sequence: 1, Leased: Amounts{Requests: 50}}})
 	assert.Equal(t, l.Allowed(now, testKey), before)
 
-	l.Apply(now, []Share{{Key: testKey, Number: 2, Lent: Amounts{Requests: 50}}})
+	l.Apply(now, []LeaseReply{{Key: testKey, Sequence: 2, Leased: Amounts{Requests: 50}}})
 	assert.Equal(t, l.Allowed(now, testKey).Requests, before.Requests+50)
 }
--- a/internal/limiter/types.go
+++ b/internal/limiter/types.go
@@ -160,24 +160,24 @@
 type Options struct {
 	// BaseShare is the part of a limit that all nodes split evenly without any message, 0 to 1; default 0.1.
 	BaseShare float64
-	// Period is the time over which the demand on a limit is measured, and the
+	// ReportPeriod is the time over which the demand on a limit is measured, and the
 	// least between two reports on it; default 1 s. A node that had to refuse
 	// without a lease reports after a quarter of it.
-	Period time.Duration
-	// LeaseFor is how long a lent share lasts, counted by the node from before its
+	ReportPeriod time.Duration
+	// LeaseDuration is how long a lent share lasts, counted by the node from before its
 	// report and by the owner from the answer; default 60 s. A node renews it
 	// after a third.
-	LeaseFor time.Duration
-	// RunFor is how long a request may run on after the lease that it was admitted
+	LeaseDuration time.Duration
+	// MaxRunAfterLease is how long a request may run on after the lease that it was admitted
 	// under; default 30 s. For so long the owner counts the concurrency of a silent node.
-	RunFor time.Duration
-	// Settle is the longest time in which nodes learn who answers, after a crash, a
-	// cut or a freeze; default 10 s. LeaseFor must exceed it by more than half.
-	Settle time.Duration
-	// Forget is the time after which an unused limit leaves the memory; default 60 s.
-	Forget time.Duration
-	// LongestRetryAfter bounds what refused callers are told; default 30 s.
-	LongestRetryAfter time.Duration
+	MaxRunAfterLease time.Duration
+	// MaxDetectionTime is the longest time in which nodes learn who answers, after a crash, a
+	// cut or a freeze; default 10 s. LeaseDuration must exceed it by more than half.
+	MaxDetectionTime time.Duration
+	// EvictAfter is the time after which an unused limit leaves the memory; default 60 s.
+	EvictAfter time.Duration
+	// MaxRetryAfter bounds what refused callers are told; default 30 s.
+	MaxRetryAfter time.Duration
 }
 
 func (o Options) withDefaults() Options {
@@ -185,26 +185,26 @@
 		o.BaseShare = 0.1
 	}
 
-	setDefault(&o.Period, time.Second)
-	setDefault(&o.LeaseFor, time.Minute)
-	setDefault(&o.RunFor, 30*time.Second)
-	setDefault(&o.Settle, 10*time.Second)
-	setDefault(&o.Forget, time.Minute)
-	setDefault(&o.LongestRetryAfter, 30*time.Second)
+	setDefault(&o.ReportPeriod, time.Second)
+	setDefault(&o.LeaseDuration, time.Minute)
+	setDefault(&o.MaxRunAfterLease, 30*time.Second)
+	setDefault(&o.MaxDetectionTime, 10*time.Second)
+	setDefault(&o.EvictAfter, time.Minute)
+	setDefault(&o.MaxRetryAfter, 30*time.Second)
 
 	return o
 }
 
 // renewAfter is the time between two reports of a node that nothing changes for.
 func (o Options) renewAfter() time.Duration {
-	return o.LeaseFor / 3
+	return o.LeaseDuration / 3
 }
 
 // lapse is the time after which nothing is left of what was lent by another view of
 // the nodes: a former owner may lend until it learns of its successor, which takes
-// Settle, and as long again if it was frozen; then leases end, then requests.
+// MaxDetectionTime, and as long again if it was frozen; then leases end, then requests.
 func (o Options) lapse() time.Duration {
-	return o.LeaseFor + o.RunFor + 2*o.Settle
+	return o.LeaseDuration + o.MaxRunAfterLease + 2*o.MaxDetectionTime
 }
 
 func setDefault(field *time.Duration, value time.Duration) {
@@ -218,25 +218,25 @@
 	Key
 	// Incarnation tells two lives of one node apart.
 	Incarnation uint64 `json:"-"`
-	// Known is the number of nodes that the node divides limits by.
-	Known int `json:"-"`
-	// Number grows with each report of an incarnation.
-	Number uint64 `json:"number"`
-	// Received is the Number of the last report whose answer arrived; zero for none.
-	Received uint64 `json:"received,omitempty"`
-	// Wants is what the node could use beyond its base share.
-	Wants Amounts `json:"wants,omitzero"`
+	// KnownNodes is the number of nodes that the node divides limits by.
+	KnownNodes int `json:"-"`
+	// Sequence grows with each report of an incarnation.
+	Sequence uint64 `json:"number"`
+	// Acknowledged is the Sequence of the last report whose answer arrived; zero for none.
+	Acknowledged uint64 `json:"received,omitempty"`
+	// Wanted is what the node could use beyond its base share.
+	Wanted Amounts `json:"wants,omitzero"`
 	// Held is what it holds under lease now. A new owner learns from it what its predecessor lent.
 	Held Amounts `json:"held,omitzero"`
 	// InFlight is the number of requests that run on the node beyond its base share.
 	InFlight int `json:"in_flight,omitempty"`
 }
 
-// Share is the owner's answer to one Demand.
-type Share struct {
+// LeaseReply is the owner's answer to one Demand.
+type LeaseReply struct {
 	Key Key `json:"-"`
-	// Number is that of the Demand; zero means that the owner has no answer.
-	Number uint64 `json:"number,omitempty"`
-	// Lent lasts for Options.LeaseFor from before the report was sent.
-	Lent Amounts `json:"lent,omitzero"`
+	// Sequence is that of the Demand; zero means that the owner has no answer.
+	Sequence uint64 `json:"number,omitempty"`
+	// Leased lasts for Options.LeaseDuration from before the report was sent.
+	Leased Amounts `json:"lent,omitzero"`
 }
--- a/internal/server/limits.go
+++ b/internal/server/limits.go
@@ -43,7 +43,7 @@
 // awaitLease returns when the node has a lease for the request, when none is to be had, or when the caller leaves.
 func (l *limits) awaitLease(caller context.Context, request dispatcher.Request) {
 	for range leaseRounds {
-		awaits := l.local.Awaits(time.Now(), request.Service.Name, request.Organisation.Name, request.Class.Name)
+		awaits := l.local.ShouldWaitForLease(time.Now(), request.Service.Name, request.Organisation.Name, request.Class.Name)
 		if !awaits || !sleeper.Sleep(caller, limitInterval) {
 			return
 		}
--- a/internal/server/operators.go
+++ b/internal/server/operators.go
@@ -62,7 +62,7 @@
 func (n *Node) parts() map[string]meter.Part {
 	parts := map[string]meter.Part{
 		"ejections":  func() any { return n.ejector.Counts() },
-		"limits":     func() any { return n.limits.local.Refused() },
+		"limits":     func() any { return n.limits.local.RefusalCounts() },
 		"membership": func() any { return n.members.prober.Counters() },
 		"messages":   func() any { return n.messages.Traffic() },
 		"quarantine": func() any { return n.quarantine.Counters() },
--- a/internal/server/platform.go
+++ b/internal/server/platform.go
@@ -52,7 +52,7 @@
 	}
 
 	n.messages.Handle(limiter.MethodReport, n.limits.owner.HandleReport)
-	n.messages.Handle(limiter.MethodAsk, n.limits.local.HandleAsk)
+	n.messages.Handle(limiter.MethodRequestReports, n.limits.local.HandleReportRequest)
 
 	created := distributor.New(options)
 	created.Subscribe(n.applyTree)
