--- a/internal/orderer/loads_test.go
+++ b/internal/orderer/loads_test.go
@@ -86,7 +86,7 @@
 			}
 		}
 
-		assert.Assert(t, a.counters.LoadsHeldBack.Load() > 0)
+		assert.Assert(t, a.counters.LoadsDeferred.Load() > 0)
 	})
 }
 
@@ -103,7 +103,7 @@
 		time.Sleep(time.Minute)
 		checkModels(t, w, "v1")
 		assert.Equal(t, len(loadsOf(w)), 2)
-		assert.Equal(t, a.counters.ReadBackDiffered.Load(), int64(1))
+		assert.Equal(t, a.counters.ReadBackMismatches.Load(), int64(1))
 	})
 }
 
--- a/internal/orderer/orderer.go
+++ b/internal/orderer/orderer.go
@@ -54,7 +54,7 @@
 	for ctx.Err() == nil {
 		service, wanted := o.wanted()
 		if !wanted {
-			sleeper.Sleep(ctx, o.options.Interval)
+			sleeper.Sleep(ctx, o.options.ReconcileInterval)
 			continue
 		}
 
@@ -72,10 +72,10 @@
 		}
 
 		failures.Reset()
-		o.options.Counters.TermsTaken.Add(1)
-		o.options.Counters.Holding.Add(1)
+		o.options.Counters.TermsAcquired.Add(1)
+		o.options.Counters.ServicesHeld.Add(1)
 		o.hold(ctx, t)
-		o.options.Counters.Holding.Add(-1)
+		o.options.Counters.ServicesHeld.Add(-1)
 		// After a lost term another node goes first.
 		sleeper.Sleep(ctx, failures.NextBackOff())
 	}
@@ -84,7 +84,7 @@
 // wanted says whether this node should order the service's engines.
 func (o *Orderer) wanted() (configurer.Service, bool) {
 	service, ok := o.options.Settings.Service(o.options.Service)
-	if !ok || !o.options.Candidates.Candidate(service.Name) {
+	if !ok || !o.options.Candidates.IsCandidate(service.Name) {
 		return service, false
 	}
 
@@ -116,7 +116,7 @@
 			break
 		}
 
-		pause := o.options.Interval
+		pause := o.options.ReconcileInterval
 		if o.round(work, t, service) {
 			pause = orderPause
 		}
@@ -136,8 +136,8 @@
 
 // rest sleeps until the next round, at most an interval longer than until what is desired changes.
 func (o *Orderer) rest(ctx context.Context, length time.Duration, service configurer.Service) {
-	for length > 0 && sleeper.Sleep(ctx, min(length, o.options.Interval)) {
-		length -= o.options.Interval
+	for length > 0 && sleeper.Sleep(ctx, min(length, o.options.ReconcileInterval)) {
+		length -= o.options.ReconcileInterval
 
 		now, wanted := o.wanted()
 		if !wanted || !reflect.DeepEqual(now.Desired, service.Desired) || !reflect.DeepEqual(now.Upstreams, service.Upstreams) {
@@ -151,7 +151,7 @@
 
 // stretch bounds the reads of engines' states, whatever their number.
 func (o *Orderer) stretch(service configurer.Service) time.Duration {
-	return time.Duration(float64(len(service.Upstreams)) / o.options.ReadsPerSecond * float64(time.Second))
+	return time.Duration(float64(len(service.Upstreams)) / o.options.MaxReadsPerSecond * float64(time.Second))
 }
 
 const (
--- a/internal/orderer/planner.go
+++ b/internal/orderer/planner.go
@@ -170,7 +170,7 @@
 		}
 
 		if p.orderer.crashes.holds(order) {
-			p.orderer.options.Counters.CrashingHeldBack.Add(1)
+			p.orderer.options.Counters.CrashingDeferred.Add(1)
 
 			lacking = lacking || order.loads()
 
@@ -178,12 +178,12 @@
 		}
 
 		if order.unloads() && (!p.maySwap(e, lacking) || !p.mayUnload(ctx, e, order)) {
-			p.orderer.options.Counters.UnloadsHeldBack.Add(1)
+			p.orderer.options.Counters.UnloadsDeferred.Add(1)
 			continue
 		}
 
 		if order.loads() && !p.orderer.loads.start(next, p.bounds) {
-			p.orderer.options.Counters.LoadsHeldBack.Add(1)
+			p.orderer.options.Counters.LoadsDeferred.Add(1)
 			return next, false
 		}
 
@@ -248,7 +248,7 @@
 	call, cancel := context.WithTimeout(ctx, o.options.CallTimeout)
 	defer cancel()
 
-	running, err := o.options.Engines.Running(call, upstream)
+	running, err := o.options.Engines.ActiveRequests(call, upstream)
 
 	return err != nil || running > 0
 }
--- a/internal/orderer/reconciler.go
+++ b/internal/orderer/reconciler.go
@@ -160,7 +160,7 @@
 	o.forgetDelays(bounds.LongestPause)
 
 	for _, key := range o.loads.overdue(bounds.LoadTimeout) {
-		o.options.Counters.ReadBackDiffered.Add(1)
+		o.options.Counters.ReadBackMismatches.Add(1)
 		o.failed(key)
 	}
 }
@@ -217,7 +217,7 @@
 	case got.err != nil:
 		counters.SendFailed.Add(1)
 	case !got.shown && !next.order.loads():
-		counters.ReadBackDiffered.Add(1)
+		counters.ReadBackMismatches.Add(1)
 	}
 
 	if got.silent {
--- a/internal/orderer/term_test.go
+++ b/internal/orderer/term_test.go
@@ -42,7 +42,7 @@
 				time.Sleep(converged)
 
 				checkModels(t, w, "v1")
-				assert.Equal(t, a.counters.TermsTaken.Load()+b.counters.TermsTaken.Load(), int64(1))
+				assert.Equal(t, a.counters.TermsAcquired.Load()+b.counters.TermsAcquired.Load(), int64(1))
 				assert.Assert(t, len(a.sent) == 0 || len(b.sent) == 0)
 			})
 		})
@@ -226,7 +226,7 @@
 		a := w.node("a")
 		start(a)
 		time.Sleep(time.Minute)
-		assert.Equal(t, a.counters.TermsTaken.Load(), int64(0))
+		assert.Equal(t, a.counters.TermsAcquired.Load(), int64(0))
 		assert.Equal(t, w.store.Revision(), int64(1))
 		w.change(func() {
 			w.current.Upstreams["checks"] = configurer.Upstream{Name: "checks", ChecksFencing: true, Desired: configurer.Desired{Role: "decode"}}
--- a/internal/orderer/types.go
+++ b/internal/orderer/types.go
@@ -65,8 +65,8 @@
 // Engines reads engines and sends them orders.
 type Engines interface {
 	State(ctx context.Context, upstream configurer.Upstream) (State, error)
-	// Running returns the number of requests that run or wait at the engine, all nodes' together.
-	Running(ctx context.Context, upstream configurer.Upstream) (int, error)
+	// ActiveRequests returns the number of requests that run or wait at the engine, all nodes' together.
+	ActiveRequests(ctx context.Context, upstream configurer.Upstream) (int, error)
 	// Send returns ErrFenced for an order that the engine refused for its number.
 	// Any other error leaves open whether the order takes effect, now or later.
 	Send(ctx context.Context, upstream configurer.Upstream, order Order, number int64) error
@@ -80,7 +80,7 @@
 // Candidates says whether this node is the one that should order a service's
 // engines. It only avoids contention: two candidates break nothing.
 type Candidates interface {
-	Candidate(service string) bool
+	IsCandidate(service string) bool
 }
 
 // Counters count what orderers do. They may be shared.
@@ -89,21 +89,21 @@
 	Sent             atomic.Int64
 	RefusedByFencing atomic.Int64
 	// SendFailed counts orders without a good answer; ReadBackDiffered those that the engine's state did not show.
-	SendFailed       atomic.Int64
-	ReadBackDiffered atomic.Int64
+	SendFailed         atomic.Int64
+	ReadBackMismatches atomic.Int64
 	// NotSent counts orders that were due when the lease had ended.
 	NotSent atomic.Int64
-	// LoadsHeldBack counts looks at a load that the weight store's limits held back.
-	LoadsHeldBack atomic.Int64
-	// CrashingHeldBack counts looks at an order that was held back since engines went down under it.
-	CrashingHeldBack atomic.Int64
-	// UnloadsHeldBack counts looks at an unload that would have removed the last copy.
-	UnloadsHeldBack atomic.Int64
-	// Holding is the number of services that are ordered now.
-	Holding atomic.Int64
-	// TermsTaken counts fencing numbers taken, TermsLost leases that ended before they were given up.
-	TermsTaken atomic.Int64
-	TermsLost  atomic.Int64
+	// LoadsDeferred counts looks at a load that the weight store's limits held back.
+	LoadsDeferred atomic.Int64
+	// CrashingDeferred counts looks at an order that was held back since engines went down under it.
+	CrashingDeferred atomic.Int64
+	// UnloadsDeferred counts looks at an unload that would have removed the last copy.
+	UnloadsDeferred atomic.Int64
+	// ServicesHeld is the number of services that are ordered now.
+	ServicesHeld atomic.Int64
+	// TermsAcquired counts fencing numbers taken, TermsLost leases that ended before they were given up.
+	TermsAcquired atomic.Int64
+	TermsLost     atomic.Int64
 }
 
 // Options are the parts and fixed settings of an Orderer. A zero duration or rate means its default.
@@ -121,10 +121,10 @@
 
 	// CallTimeout bounds one call of the store or of an engine; 2 s by default.
 	CallTimeout time.Duration
-	// Interval is the time between two looks at all engines; 2 s by default.
-	Interval time.Duration
-	// ReadsPerSecond stretches Interval for services with many engines; 4 by default.
-	ReadsPerSecond float64
+	// ReconcileInterval is the time between two looks at all engines; 2 s by default.
+	ReconcileInterval time.Duration
+	// MaxReadsPerSecond stretches ReconcileInterval for services with many engines; 4 by default.
+	MaxReadsPerSecond float64
 }
 
 // Defaults of what the settings tree may leave out.
@@ -135,9 +135,9 @@
 	DefaultLoadsPerMinute = 6
 	DefaultLoadsAtOnce    = 2
 
-	defaultCallTimeout    = 2 * time.Second
-	defaultInterval       = 2 * time.Second
-	defaultReadsPerSecond = 4
+	defaultCallTimeout       = 2 * time.Second
+	defaultReconcileInterval = 2 * time.Second
+	defaultMaxReadsPerSecond = 4
 )
 
 func (o Options) withDefaults() Options {
@@ -145,12 +145,12 @@
 		o.CallTimeout = defaultCallTimeout
 	}
 
-	if o.Interval == 0 {
-		o.Interval = defaultInterval
+	if o.ReconcileInterval == 0 {
+		o.ReconcileInterval = defaultReconcileInterval
 	}
 
-	if o.ReadsPerSecond == 0 {
-		o.ReadsPerSecond = defaultReadsPerSecond
+	if o.MaxReadsPerSecond == 0 {
+		o.MaxReadsPerSecond = defaultMaxReadsPerSecond
 	}
 
 	return o
@@ -193,12 +193,12 @@
 		"orders_refused_by_fencing":  c.RefusedByFencing.Load(),
 		"orders_failed":              c.SendFailed.Load(),
 		"orders_not_sent_lease_over": c.NotSent.Load(),
-		"read_backs_differed":        c.ReadBackDiffered.Load(),
-		"loads_held_back":            c.LoadsHeldBack.Load(),
-		"crashing_held_back":         c.CrashingHeldBack.Load(),
-		"unloads_held_back":          c.UnloadsHeldBack.Load(),
-		"services_held":              c.Holding.Load(),
-		"terms_taken":                c.TermsTaken.Load(),
+		"read_backs_differed":        c.ReadBackMismatches.Load(),
+		"loads_held_back":            c.LoadsDeferred.Load(),
+		"crashing_held_back":         c.CrashingDeferred.Load(),
+		"unloads_held_back":          c.UnloadsDeferred.Load(),
+		"services_held":              c.ServicesHeld.Load(),
+		"terms_taken":                c.TermsAcquired.Load(),
 		"terms_lost":                 c.TermsLost.Load(),
 	}
 }
--- a/internal/orderer/world_test.go
+++ b/internal/orderer/world_test.go
@@ -164,7 +164,7 @@
 	return s, true
 }
 
-func (w *world) Running(_ context.Context, upstream configurer.Upstream) (int, error) {
+func (w *world) ActiveRequests(_ context.Context, upstream configurer.Upstream) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 
@@ -239,7 +239,7 @@
 	group.Go(func() { o.Run(ctx) })
 }
 
-func (n *node) Candidate(string) bool {
+func (n *node) IsCandidate(string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 
--- a/internal/server/orders.go
+++ b/internal/server/orders.go
@@ -113,7 +113,7 @@
 	self    string
 }
 
-func (o ordererCandidates) Candidate(service string) bool {
+func (o ordererCandidates) IsCandidate(service string) bool {
 	view := o.members.view.Load()
 	nodes := slices.Clone(view.live)
 
@@ -164,8 +164,8 @@
 	return orderer.State(state), nil
 }
 
-// Running reads the engine's own load report, which counts the requests of all nodes and lags.
-func (e engineOrders) Running(ctx context.Context, upstream configurer.Upstream) (int, error) {
+// ActiveRequests reads the engine's own load report, which counts the requests of all nodes and lags.
+func (e engineOrders) ActiveRequests(ctx context.Context, upstream configurer.Upstream) (int, error) {
 	var report loadReport
 	if err := e.read(ctx, upstream.Address+"/load", &report); err != nil {
 		return 0, errors.Wrap(err, "read the engine's load")
