--- a/internal/limiter/cluster_test.go
+++ b/internal/limiter/cluster_test.go
@@ -33,54 +33,55 @@
 
 const tick = 50 * time.Millisecond
 
-// node is one node of a cluster in virtual time.
+// node is one node of a simulated cluster.
 type node struct {
 	name    string
 	limiter *Limiter
 	owner   *Owner
-	// running holds the ends of admitted requests.
-	running []time.Time
-	// admitted counts requests let in.
+	// runningUntil holds the end times of admitted requests.
+	runningUntil []time.Time
+	// admitted is the number of admitted requests.
 	admitted int
 	started  time.Time
-	// frozen nodes do nothing until then; what they sent to upstreams runs on.
-	frozen time.Time
+	// A node does nothing until frozenUntil, while its requests go on at the upstreams.
+	frozenUntil time.Time
 }
 
-// cluster runs nodes that exchange reports with losses and delays.
+// cluster simulates nodes in virtual time whose messages are lost and delayed.
 type cluster struct {
 	now     time.Time
 	random  *rand.Rand
 	limits  Amounts
 	options Options
-	// loss is the share of messages lost each way.
+	// loss is the fraction of messages lost in each direction.
 	loss  float64
 	delay time.Duration
-	// cut nodes reach no other node.
-	cut map[string]bool
-	// sides are the parts of a cut network; nodes of different sides don't reach each other.
-	sides map[string]int
-	// only names the node that requests come to; empty means all.
-	only string
-	// known is the number of nodes that are listed; zero means those that a view names.
-	known int
-	nodes map[string]*node
-	later []event
-	lives uint64
+	// unreachable nodes exchange no messages with other nodes.
+	unreachable map[string]bool
+	// partitions assigns nodes to parts of a partitioned network. Nodes in different
+	// parts don't reach each other.
+	partitions map[string]int
+	// onlyNode is the only node that receives requests; empty for all nodes.
+	onlyNode string
+	// known is the number of listed nodes; zero for the number of live ones.
+	known        int
+	nodes        map[string]*node
+	scheduled    []scheduledCall
+	incarnations uint64
 }
 
-type event struct {
+type scheduledCall struct {
 	at time.Time
 	do func()
 }
 
 func newCluster(seed uint64, limits Amounts, size int) *cluster {
 	c := &cluster{
-		now:    start,
-		random: rand.New(rand.NewPCG(seed, 1)),
-		limits: limits,
-		cut:    make(map[string]bool),
-		nodes:  make(map[string]*node),
+		now:         start,
+		random:      rand.New(rand.NewPCG(seed, 1)),
+		limits:      limits,
+		unreachable: make(map[string]bool),
+		nodes:       make(map[string]*node),
 	}
 
 	for i := range size {
@@ -88,18 +89,19 @@
 	}
 
 	for _, name := range c.names() {
-		c.view(name, c.names())
+		c.setView(name, c.names())
 	}
 
-	// Past the first grace.
-	c.pass(c.options.withDefaults().lapse())
+	// Wait until the initial grace period has ended.
+	c.advance(c.options.withDefaults().leaseDrainTime())
 
 	return c
 }
 
-// pass lets time pass in which nobody sends; owners that don't run would take it for a freeze.
-func (c *cluster) pass(length time.Duration) {
-	for end := c.now.Add(length); c.now.Before(end); {
+// advance moves time on without any requests. It keeps the owners running, since they
+// would take a gap for a freeze.
+func (c *cluster) advance(duration time.Duration) {
+	for end := c.now.Add(duration); c.now.Before(end); {
 		c.now = c.now.Add(second())
 
 		for _, n := range c.nodes {
@@ -109,12 +111,12 @@
 }
 
 func (c *cluster) add(name string) {
-	c.lives++
+	c.incarnations++
 	source := fixedLimits(c.limits)
 	c.nodes[name] = &node{
 		name:    name,
 		started: c.now,
-		limiter: New(c.options, source, name, c.lives),
+		limiter: New(c.options, source, name, c.incarnations),
 		owner:   NewOwner(c.now, c.options, source, name),
 	}
 }
@@ -130,7 +132,7 @@
 	return names
 }
 
-func (c *cluster) view(name string, members []string) {
+func (c *cluster) setView(name string, members []string) {
 	if n := c.nodes[name]; n != nil {
 		known := max(c.known, len(members))
 		n.limiter.SetNodes(c.now, members, known)
@@ -138,23 +140,24 @@
 	}
 }
 
-// changed lets each node learn of the present members at its own time within MaxDetectionTime.
-func (c *cluster) changed() {
+// announceMembers tells each node of the current members, after a random delay within
+// MaxDetectionTime.
+func (c *cluster) announceMembers() {
 	members := c.names()
 
 	for _, name := range members {
 		if n := c.nodes[name]; n.limiter.view.current.live == 0 {
-			c.view(name, members)
+			c.setView(name, members)
 
 			continue
 		}
 
-		c.after(time.Duration(c.random.Int64N(int64(2*time.Second))), func() { c.view(name, members) })
+		c.schedule(time.Duration(c.random.Int64N(int64(2*time.Second))), func() { c.setView(name, members) })
 	}
 }
 
-func (c *cluster) after(wait time.Duration, do func()) {
-	c.later = append(c.later, event{c.now.Add(wait), do})
+func (c *cluster) schedule(wait time.Duration, do func()) {
+	c.scheduled = append(c.scheduled, scheduledCall{c.now.Add(wait), do})
 }
 
 func (c *cluster) ownerName() string {
@@ -167,15 +170,15 @@
 	return ""
 }
 
-// step moves one tick on: due events, ends of requests, arrivals, reports.
-func (c *cluster) step(arrivals func(name string) int, length func() time.Duration, tokens int) {
+// step simulates one tick: scheduled calls, ends of requests, arrivals and reports.
+func (c *cluster) step(arrivals func(name string) int, duration func() time.Duration, tokens int) {
 	c.now = c.now.Add(tick)
-	due := c.later
-	c.later = nil
+	due := c.scheduled
+	c.scheduled = nil
 
 	for _, e := range due {
 		if e.at.After(c.now) {
-			c.later = append(c.later, e)
+			c.scheduled = append(c.scheduled, e)
 
 			continue
 		}
@@ -185,11 +188,11 @@
 
 	for _, name := range c.names() {
 		n := c.nodes[name]
-		if c.now.Before(n.frozen) {
+		if c.now.Before(n.frozenUntil) {
 			continue
 		}
 
-		n.running = slices.DeleteFunc(n.running, func(end time.Time) bool {
+		n.runningUntil = slices.DeleteFunc(n.runningUntil, func(end time.Time) bool {
 			if end.After(c.now) {
 				return false
 			}
@@ -202,21 +205,21 @@
 		for range arrivals(name) {
 			if _, ok := n.limiter.Admit(c.now, testKey.Service, testKey.Organisation, "chat"); ok {
 				n.admitted++
-				n.running = append(n.running, c.now.Add(length()))
+				n.runningUntil = append(n.runningUntil, c.now.Add(duration()))
 			}
 		}
 
 		n.owner.Sweep(c.now)
-		c.ask(n)
+		c.sendReportRequests(n)
 		c.exchange(n)
 	}
 }
 
-// ask sends a node's questions as an owner.
-func (c *cluster) ask(n *node) {
+// sendReportRequests sends the report requests of a node's owner.
+func (c *cluster) sendReportRequests(n *node) {
 	for name, keys := range n.owner.ReportRequests(c.now) {
 		c.send(n.name, name, func() {
-			if target := c.nodes[name]; target != nil && !c.now.Before(target.frozen) {
+			if target := c.nodes[name]; target != nil && !c.now.Before(target.frozenUntil) {
 				target.limiter.RequestReports(c.now, keys)
 			}
 		})
@@ -227,23 +230,23 @@
 	for owner, demands := range n.limiter.DueReports(c.now) {
 		c.send(n.name, owner, func() {
 			target := c.nodes[owner]
-			if target == nil || c.now.Before(target.frozen) {
+			if target == nil || c.now.Before(target.frozenUntil) {
 				return
 			}
 
 			for _, demand := range demands {
-				share, ok := target.owner.Report(c.now, n.name, demand)
+				reply, ok := target.owner.Report(c.now, n.name, demand)
 				if ok {
-					c.send(owner, n.name, func() { c.apply(n, share) })
+					c.send(owner, n.name, func() { c.apply(n, reply) })
 				}
 			}
 		})
 	}
 }
 
-func (c *cluster) apply(n *node, share LeaseReply) {
-	if !c.now.Before(n.frozen) {
-		n.limiter.Apply(c.now, []LeaseReply{share})
+func (c *cluster) apply(n *node, reply LeaseReply) {
+	if !c.now.Before(n.frozenUntil) {
+		n.limiter.Apply(c.now, []LeaseReply{reply})
 	}
 }
 
@@ -254,45 +257,46 @@
 		return
 	}
 
-	if c.random.Float64() < c.loss || c.cut[from] || c.cut[to] || c.sides[from] != c.sides[to] {
+	if c.random.Float64() < c.loss || c.unreachable[from] || c.unreachable[to] || c.partitions[from] != c.partitions[to] {
 		return
 	}
 
-	c.after(time.Duration(c.random.Int64N(int64(c.delay)+1)), do)
+	c.schedule(time.Duration(c.random.Int64N(int64(c.delay)+1)), do)
 }
 
-// allowed sums the shares in force. Nodes that go on with an even part, since their owner
-// is silent, count as alone and stand in the sum with base share and lease.
-// A node that just started stands without the base share that it has on top.
-func (c *cluster) allowed() (sum, total Amounts, alone int) {
+// sumAllowed sums the shares in force. Nodes that fell back to an even share because
+// their owner is unresponsive are counted in onEvenShare, and only their base share and
+// lease are added to sum. For a node that has just started, sum leaves out its base
+// share, which it has in addition to the limit.
+func (c *cluster) sumAllowed() (sum, total Amounts, onEvenShare int) {
 	for _, n := range c.nodes {
 		share := n.limiter.Allowed(c.now, testKey)
 		total = total.plus(share)
 
-		e := n.limiter.entries[testKey]
+		state := n.limiter.states[testKey]
 		options := n.limiter.options
-		base := n.limiter.view.base(c.now, c.limits)
+		base := n.limiter.view.baseShare(c.now, c.limits)
 
-		if e.ownerSilent(c.now) {
-			alone++
+		if state.ownerUnresponsive(c.now) {
+			onEvenShare++
 
-			share = base.plus(e.lent).atMost(c.limits)
+			share = base.plus(state.leased).atMost(c.limits)
 		}
 
-		if c.now.Before(n.started.Add(options.lapse())) {
+		if c.now.Before(n.started.Add(options.leaseDrainTime())) {
 			share = share.minus(base)
 		}
 
 		sum = sum.plus(share)
 	}
 
-	return sum, total, alone
+	return sum, total, onEvenShare
 }
 
 func (c *cluster) running() int {
 	count := 0
 	for _, n := range c.nodes {
-		for _, end := range n.running {
+		for _, end := range n.runningUntil {
 			if end.After(c.now) {
 				count++
 			}
--- a/internal/limiter/demand.go
+++ b/internal/limiter/demand.go
@@ -6,162 +6,168 @@
 )
 
 const (
-	// roundsPerPeriod is how often in a period Exchange looks for due reports.
-	roundsPerPeriod = 4
-	// wantFactor leaves room for demand to grow before a further report.
-	wantFactor = 1.5
-	// wantFade is how much of the last demand still counts when the new one is lower.
-	wantFade = 0.7
-	// silentUse is the part of the base share that a node uses without reporting.
-	silentUse = 0.5
-	// idleAfter is how long after its last use a limit is not wanted at all.
-	idleAfter = 5 * time.Second
-	// smoothOver is the time over which rates are averaged.
-	smoothOver = 5 * time.Second
+	// exchangesPerPeriod is how many times in a report period Exchange must be called.
+	exchangesPerPeriod = 4
+	// demandHeadroom lets demand grow before another report is needed.
+	demandHeadroom = 1.5
+	// demandDecay is the fraction of the previous demand that is kept as a minimum when
+	// the new one is lower.
+	demandDecay = 0.7
+	// unreportedBaseFraction is the fraction of the base share that a node without a
+	// lease uses without reporting.
+	unreportedBaseFraction = 0.5
+	// demandIdleTimeout is how long after its last use a limit's demand drops to zero.
+	demandIdleTimeout = 5 * time.Second
+	// rateTimeConstant is the time constant of the moving averages of rates.
+	rateTimeConstant = 5 * time.Second
 )
 
-// told is what an owner knows of a node's demand from a report.
-type told struct {
-	wants    Amounts
+// reportedDemand is what the owner knows of a node's demand from a report.
+type reportedDemand struct {
+	wanted   Amounts
 	inFlight int
 }
 
-// due says whether the owner must hear of the limit now: to renew what it goes
-// by, when more is wanted than it was told and lent, when less runs than it counts
-// beyond the lease, or when it asked. Less demand alone is told with the next
-// renewal; an owner that needs the share for another node asks for it.
-func (e *entry) due(now time.Time, options Options, view *view) bool {
-	// A report before the answer to the last one would make that answer stale.
-	if !e.silentSince.IsZero() && now.Sub(e.sentAt) < options.ReportPeriod {
+// isReportDue reports whether the owner must be told about the limit now: to renew the
+// lease, because more is wanted than was reported and leased, because fewer requests
+// run than the owner counts beyond the lease, or because it requested a report. Lower
+// demand alone is only reported with the next renewal; an owner that needs the share
+// for another node requests a report.
+func (s *limitState) isReportDue(now time.Time, options Options, view *view) bool {
+	// Reporting before the reply to the last report has arrived would make that reply
+	// stale.
+	if !s.unansweredSince.IsZero() && now.Sub(s.sentAt) < options.ReportPeriod {
 		return false
 	}
 
-	e.measure(now, options)
+	s.measureDemand(now, options)
 
-	base := view.base(now, e.limits)
+	base := view.baseShare(now, s.limits)
 
 	switch {
-	case e.asked, e.grown(base, view.even(now, e.limits)):
+	case s.mustReport, s.hasUnreportedDemand(base, view.evenShare(now, s.limits)):
 		return true
-	case e.holds() && now.Sub(e.renewedAt) >= options.renewAfter():
+	case s.trackedByOwner() && now.Sub(s.renewedAt) >= options.renewInterval():
 		return true
-	case float64(e.told.inFlight) > e.lent.Concurrency && e.beyond(base) < e.told.inFlight:
-		return now.Sub(e.sentAt) >= options.ReportPeriod
+	case float64(s.ackedDemand.inFlight) > s.leased.Concurrency && s.inFlightBeyondBase(base) < s.ackedDemand.inFlight:
+		return now.Sub(s.sentAt) >= options.ReportPeriod
 	}
 
-	e.silentSince = time.Time{}
+	s.unansweredSince = time.Time{}
 
 	return false
 }
 
-// beyond is the number of requests that run beyond the base share.
-func (e *entry) beyond(base Amounts) int {
-	if e.limits.Concurrency == 0 {
+// inFlightBeyondBase is the number of requests that run beyond the base share.
+func (s *limitState) inFlightBeyondBase(base Amounts) int {
+	if s.limits.Concurrency == 0 {
 		return 0
 	}
 
-	return max(e.inFlight-int(base.Concurrency), 0)
+	return max(s.inFlight-int(base.Concurrency), 0)
 }
 
-// grown says whether more is wanted than the node has, and the owner doesn't know.
-// What it was told and could not lend is not worth telling again: it asks when it can.
-func (e *entry) grown(base, even Amounts) bool {
-	if !e.holds() {
-		return e.wants.minus(base.times(silentUse)) != (Amounts{})
+// hasUnreportedDemand reports whether more is wanted than the node has, and the owner
+// doesn't know. Demand that was reported and could not be met isn't reported again: the
+// owner requests a report when it can be met.
+func (s *limitState) hasUnreportedDemand(base, even Amounts) bool {
+	if !s.trackedByOwner() {
+		return s.wanted.minus(base.times(unreportedBaseFraction)) != (Amounts{})
 	}
 
-	if e.told.wants.minus(e.lent).matters(even) || e.wants.minus(base.plus(e.lent)) == (Amounts{}) {
+	if s.ackedDemand.wanted.minus(s.leased).isSignificant(even) || s.wanted.minus(base.plus(s.leased)) == (Amounts{}) {
 		return false
 	}
 
-	news := e.need(base).minus(e.told.wants)
+	unreported := s.wantedBeyondBase(base).minus(s.ackedDemand.wanted)
 
-	return news.matters(even) || (e.hadToRefuse && news != (Amounts{}))
+	return unreported.isSignificant(even) || (s.refusedLastPeriod && unreported != (Amounts{}))
 }
 
-// need is what is worth having beyond the base share.
-func (e *entry) need(base Amounts) Amounts {
-	wants := e.wants.times(wantFactor)
-	wants.Concurrency = math.Ceil(wants.Concurrency)
+// wantedBeyondBase is the amount, including headroom, to request beyond the base share.
+func (s *limitState) wantedBeyondBase(base Amounts) Amounts {
+	wanted := s.wanted.times(demandHeadroom)
+	wanted.Concurrency = math.Ceil(wanted.Concurrency)
 
-	return wants.atMost(e.limits).minus(base).brief()
+	return wanted.atMost(s.limits).minus(base).roundDown()
 }
 
-// measure takes the demand of the last period, or of a quarter of it where the
-// node had to refuse and the owner knows of no demand at all.
-func (e *entry) measure(now time.Time, options Options) {
-	passed := now.Sub(e.measuredAt)
-	urgent := e.refused && !e.holds()
+// measureDemand updates the demand from the last period, or from a quarter of one if
+// the node refused requests and the owner knows of no demand.
+func (s *limitState) measureDemand(now time.Time, options Options) {
+	passed := now.Sub(s.measuredAt)
+	urgent := s.refusedAny && !s.trackedByOwner()
 
-	if passed < options.ReportPeriod/roundsPerPeriod || (passed < options.ReportPeriod && !urgent) {
+	if passed < options.ReportPeriod/exchangesPerPeriod || (passed < options.ReportPeriod && !urgent) {
 		return
 	}
 
 	seconds := passed.Seconds()
-	weight := 1 - math.Exp(-seconds/smoothOver.Seconds())
-	e.rate += weight * (float64(e.attempts)/seconds - e.rate)
-	e.tokenRate += weight * (e.used/seconds - e.tokenRate)
+	weight := 1 - math.Exp(-seconds/rateTimeConstant.Seconds())
+	s.requestRate += weight * (float64(s.attempts)/seconds - s.requestRate)
+	s.tokenRate += weight * (s.tokensUsed/seconds - s.tokenRate)
 
 	measured := Amounts{
-		Requests:    max(e.rate, surely(e.attempts)/seconds),
-		Concurrency: float64(e.peak + e.blocked),
-		Tokens:      e.tokenRate,
+		Requests:    max(s.requestRate, lowerEstimate(s.attempts)/seconds),
+		Concurrency: float64(s.peakInFlight + s.overConcurrency),
+		Tokens:      s.tokenRate,
 	}
 
-	if e.tokensRefused {
-		measured.Tokens = max(measured.Tokens, -e.balance/smoothOver.Seconds())
+	if s.refusedForTokens {
+		measured.Tokens = max(measured.Tokens, -s.tokenBalance/rateTimeConstant.Seconds())
 	}
 
-	e.wants = measured.atLeast(e.wants.times(wantFade)).atMost(e.limits)
+	s.wanted = measured.atLeast(s.wanted.times(demandDecay)).atMost(s.limits)
 
-	if e.inFlight == 0 && now.Sub(e.lastUsed) >= idleAfter {
-		e.wants = Amounts{}
-		e.rate, e.tokenRate = 0, 0
+	if s.inFlight == 0 && now.Sub(s.lastUsed) >= demandIdleTimeout {
+		s.wanted = Amounts{}
+		s.requestRate, s.tokenRate = 0, 0
 	}
 
-	e.measuredAt = now
-	e.attempts, e.blocked, e.used = 0, 0, 0
-	e.peak = e.inFlight
-	e.hadToRefuse = e.refused
-	e.tokensRefused, e.refused = false, false
+	s.measuredAt = now
+	s.attempts, s.overConcurrency, s.tokensUsed = 0, 0, 0
+	s.peakInFlight = s.inFlight
+	s.refusedLastPeriod = s.refusedAny
+	s.refusedForTokens, s.refusedAny = false, false
 }
 
-// surely is the number of requests less what chance may add. One request in a
-// period is no rate of one a second: taken for it, all nodes together would want
-// several times what the organisation sends, and report as often as they guess.
-func surely(attempts int) float64 {
+// lowerEstimate returns the number of requests less one standard deviation of a Poisson
+// process. A single request in a period doesn't mean a rate of one a second: if it did,
+// all nodes together would want several times what the organisation sends, and would
+// report whenever the estimate changes.
+func lowerEstimate(attempts int) float64 {
 	return float64(attempts) - math.Sqrt(float64(attempts))
 }
 
-func (e *entry) report(now time.Time, key Key, number uint64, view *view) Demand {
-	e.number = number
-	e.sentAt = now
+func (s *limitState) newDemand(now time.Time, key Key, sequence uint64, view *view) Demand {
+	s.sequence = sequence
+	s.sentAt = now
 
-	if e.silentSince.IsZero() {
-		e.silentSince = now
+	if s.unansweredSince.IsZero() {
+		s.unansweredSince = now
 	}
 
-	base := view.base(now, e.limits)
-	e.sent = told{wants: e.need(base), inFlight: e.beyond(base)}
+	base := view.baseShare(now, s.limits)
+	s.lastDemand = reportedDemand{wanted: s.wantedBeyondBase(base), inFlight: s.inFlightBeyondBase(base)}
 
 	return Demand{
 		Key:          key,
-		Sequence:     e.number,
-		Acknowledged: e.received,
-		Wanted:       e.sent.wants,
-		Held:         e.lent,
-		InFlight:     e.sent.inFlight,
+		Sequence:     s.sequence,
+		Acknowledged: s.acknowledged,
+		Wanted:       s.lastDemand.wanted,
+		Held:         s.leased,
+		InFlight:     s.lastDemand.inFlight,
 	}
 }
 
-// apply takes the answer to the last report. A smaller share is acknowledged with
-// a further report: until then the owner counts the larger one.
-func (e *entry) apply(share LeaseReply, options Options, even Amounts) {
-	e.received = share.Sequence
-	e.silentSince = time.Time{}
-	e.asked = e.lent.minus(share.Leased).matters(even)
-	e.told = e.sent
-	e.lent = share.Leased
-	e.renewedAt = e.sentAt
-	e.leaseEnds = e.sentAt.Add(options.LeaseDuration)
+// applyReply applies the reply to the last report. A smaller share is acknowledged by a
+// further report, since the owner counts the larger one until then.
+func (s *limitState) applyReply(reply LeaseReply, options Options, even Amounts) {
+	s.acknowledged = reply.Sequence
+	s.unansweredSince = time.Time{}
+	s.mustReport = s.leased.minus(reply.Leased).isSignificant(even)
+	s.ackedDemand = s.lastDemand
+	s.leased = reply.Leased
+	s.renewedAt = s.sentAt
+	s.leaseExpires = s.sentAt.Add(options.LeaseDuration)
 }
--- a/internal/limiter/lease.go
+++ b/internal/limiter/lease.go
@@ -10,51 +10,53 @@
 // leaseSet holds the leases of one limit.
 type leaseSet struct {
 	byNode map[string]*lease
-	// graceEnds is when the predecessor's leases have surely ended.
-	graceEnds time.Time
-	// heard are the nodes that reported at an epoch, and complete is the last epoch
-	// at which all known nodes did: nothing is lent then that the owner doesn't know.
-	heard    map[string]bool
-	epoch    uint64
-	complete uint64
-	// unsettled says that some node may want more than it has; nextAsk is when to ask for it.
-	unsettled bool
-	nextAsk   time.Time
+	// graceEndsAt is when all leases of the previous owner have certainly expired.
+	graceEndsAt time.Time
+	// reported holds the nodes that have reported at reportedEpoch. completeEpoch is
+	// the last epoch at which all known nodes had reported, so that the owner knows of
+	// every lease.
+	reported      map[string]bool
+	reportedEpoch uint64
+	completeEpoch uint64
+	// maybeUnmet is set if some node may want more than it has; nextRequestAt is when
+	// to request reports for it.
+	maybeUnmet    bool
+	nextRequestAt time.Time
 }
 
-func newLeaseSet(graceEnds time.Time) *leaseSet {
-	return &leaseSet{byNode: make(map[string]*lease), graceEnds: graceEnds}
+func newLeaseSet(graceEndsAt time.Time) *leaseSet {
+	return &leaseSet{byNode: make(map[string]*lease), graceEndsAt: graceEndsAt}
 }
 
-// hear takes note that a node has reported all it holds to this owner.
-func (s *leaseSet) hear(node string, epoch uint64, live []string, known int) {
-	if s.complete == epoch {
+// recordReport records that a node has reported everything that it holds to this owner.
+func (s *leaseSet) recordReport(node string, epoch uint64, live []string, known int) {
+	if s.completeEpoch == epoch {
 		return
 	}
 
-	if s.epoch != epoch {
-		s.epoch = epoch
-		s.heard = make(map[string]bool)
+	if s.reportedEpoch != epoch {
+		s.reportedEpoch = epoch
+		s.reported = make(map[string]bool)
 	}
 
-	s.heard[node] = true
+	s.reported[node] = true
 
-	if len(live) == known && len(s.unheard(epoch, live)) == 0 {
-		s.complete = epoch
-		s.heard = nil
-		s.graceEnds = time.Time{}
-		s.nextAsk = time.Time{}
+	if len(live) == known && len(s.notReported(epoch, live)) == 0 {
+		s.completeEpoch = epoch
+		s.reported = nil
+		s.graceEndsAt = time.Time{}
+		s.nextRequestAt = time.Time{}
 	}
 }
 
-func (s *leaseSet) unheard(epoch uint64, live []string) []string {
-	return slices.DeleteFunc(slices.Clone(live), func(node string) bool { return s.epoch == epoch && s.heard[node] })
+func (s *leaseSet) notReported(epoch uint64, live []string) []string {
+	return slices.DeleteFunc(slices.Clone(live), func(node string) bool { return s.reportedEpoch == epoch && s.reported[node] })
 }
 
-// short says whether some node has less than it wants.
-func (s *leaseSet) short(now time.Time, even Amounts) bool {
+// hasUnmetDemand reports whether some node has less than it wants.
+func (s *leaseSet) hasUnmetDemand(now time.Time, even Amounts) bool {
 	for _, l := range s.byNode {
-		if now.Before(l.expires) && l.wants.minus(l.lent).matters(even) {
+		if now.Before(l.expires) && l.wanted.minus(l.leased).isSignificant(even) {
 			return true
 		}
 	}
@@ -62,47 +64,48 @@
 	return false
 }
 
-// misfits are the nodes that hold less than their part while something is free, and
-// as many of those that hold more than theirs as have what is missing besides.
-func (s *leaseSet) misfits(now time.Time, levels, free, even Amounts) []string {
+// nodesToAdjust returns the nodes that hold less than their fair share while some of
+// the limit is free, and as many nodes that hold more than theirs as are needed to make
+// up the rest.
+func (s *leaseSet) nodesToAdjust(now time.Time, levels, free, even Amounts) []string {
 	var (
-		nodes   []string
-		missing Amounts
+		nodes        []string
+		totalDeficit Amounts
 	)
 
-	excess := make(map[string]Amounts)
+	surpluses := make(map[string]Amounts)
 
 	for node, l := range s.byNode {
 		if !now.Before(l.expires) {
 			continue
 		}
 
-		part := l.wants.atMost(levels)
-		lacks := part.minus(l.lent)
-		missing = missing.plus(lacks)
+		fairShare := l.wanted.atMost(levels)
+		deficit := fairShare.minus(l.leased)
+		totalDeficit = totalDeficit.plus(deficit)
 
-		if lacks.atMost(free).matters(even) {
+		if deficit.atMost(free).isSignificant(even) {
 			nodes = append(nodes, node)
 		}
 
-		if over := l.lent.minus(part); over.matters(even) {
-			excess[node] = over
+		if surplus := l.leased.minus(fairShare); surplus.isSignificant(even) {
+			surpluses[node] = surplus
 		}
 	}
 
-	missing = missing.minus(free)
+	totalDeficit = totalDeficit.minus(free)
 
-	for _, node := range slices.Sorted(maps.Keys(excess)) {
-		if excess[node].atMost(missing) != (Amounts{}) {
+	for _, node := range slices.Sorted(maps.Keys(surpluses)) {
+		if surpluses[node].atMost(totalDeficit) != (Amounts{}) {
 			nodes = append(nodes, node)
-			missing = missing.minus(excess[node])
+			totalDeficit = totalDeficit.minus(surpluses[node])
 		}
 	}
 
 	return nodes
 }
 
-func (s *leaseSet) of(node string) *lease {
+func (s *leaseSet) leaseFor(node string) *lease {
 	l := s.byNode[node]
 	if l == nil {
 		l = &lease{}
@@ -112,74 +115,76 @@
 	return l
 }
 
-// others is what all nodes but one may hold.
-func (s *leaseSet) others(now time.Time, node string, options Options) Amounts {
+// reservedByOthers returns what all nodes except one may hold.
+func (s *leaseSet) reservedByOthers(now time.Time, node string, options Options) Amounts {
 	var sum Amounts
 
 	for name, l := range s.byNode {
 		if name != node {
-			sum = sum.plus(l.counted(now, options))
+			sum = sum.plus(l.reserved(now, options))
 		}
 	}
 
 	return sum
 }
 
-// levels are the max-min fair parts of the pool: small wants are met whole, the
-// rest is split evenly.
-func (s *leaseSet) levels(now time.Time, pool Amounts) Amounts {
+// fairLevels returns the max-min fair shares of the leasable amounts: small demands are
+// met in full, and the rest is split evenly.
+func (s *leaseSet) fairLevels(now time.Time, leasable Amounts) Amounts {
 	var requests, concurrency, tokens []float64
 
 	for _, l := range s.byNode {
 		if now.Before(l.expires) {
-			requests = append(requests, l.wants.Requests)
-			concurrency = append(concurrency, l.wants.Concurrency)
-			tokens = append(tokens, l.wants.Tokens)
+			requests = append(requests, l.wanted.Requests)
+			concurrency = append(concurrency, l.wanted.Concurrency)
+			tokens = append(tokens, l.wanted.Tokens)
 		}
 	}
 
 	return Amounts{
-		Requests:    fairLevel(requests, pool.Requests),
-		Concurrency: math.Ceil(fairLevel(concurrency, pool.Concurrency)),
-		Tokens:      fairLevel(tokens, pool.Tokens),
+		Requests:    fairLevel(requests, leasable.Requests),
+		Concurrency: math.Ceil(fairLevel(concurrency, leasable.Concurrency)),
+		Tokens:      fairLevel(tokens, leasable.Tokens),
 	}
 }
 
-// spareShare is the part of what nobody wants that is lent besides. The rest is
-// there for nodes that want more: without it others would have to give some back first.
-const spareShare = 0.9
+// spareFraction is the fraction of the unclaimed amount that is leased on top of
+// demand. The rest is kept for nodes that come to want more, which would otherwise have
+// to wait until others return some.
+const spareFraction = 0.9
 
-// part is what a node may have: its fair part and, as long as all wants are met, an
-// even part of what nobody wants. By the latter demand may vary from second to
-// second without a report.
-func (s *leaseSet) part(now time.Time, own *lease, pool Amounts, live int) Amounts {
-	if own.wants == (Amounts{}) {
+// shareOf returns what a node may have: its fair share and, as long as all demand is
+// met, an even share of the unclaimed amount. The latter lets demand vary from second
+// to second without a report.
+func (s *leaseSet) shareOf(now time.Time, own *lease, leasable Amounts, live int) Amounts {
+	if own.wanted == (Amounts{}) {
 		return Amounts{}
 	}
 
-	levels := s.levels(now, pool)
-	spare := pool
+	levels := s.fairLevels(now, leasable)
+	spare := leasable
 
 	for _, l := range s.byNode {
 		if now.Before(l.expires) {
-			spare = spare.minus(l.wants.atMost(levels))
+			spare = spare.minus(l.wanted.atMost(levels))
 		}
 	}
 
-	return own.wants.atMost(levels).plus(spare.times(spareShare / float64(max(live, 1))).whole())
+	return own.wanted.atMost(levels).plus(spare.times(spareFraction / float64(max(live, 1))).floorConcurrency())
 }
 
-// fairLevel is the largest part that anyone may get so that all parts fit the pool.
-func fairLevel(wants []float64, pool float64) float64 {
-	slices.Sort(wants)
+// fairLevel returns the largest share that any node may get such that all shares fit in
+// the available amount.
+func fairLevel(wanted []float64, available float64) float64 {
+	slices.Sort(wanted)
 
-	for i, want := range wants {
-		level := pool / float64(len(wants)-i)
-		if want >= level {
+	for i, amount := range wanted {
+		level := available / float64(len(wanted)-i)
+		if amount >= level {
 			return level
 		}
 
-		pool -= want
+		available -= amount
 	}
 
 	return math.Inf(1)
@@ -188,77 +193,80 @@
 // lease is what one node holds of one limit.
 type lease struct {
 	incarnation uint64
-	number      uint64
-	wants       Amounts
-	// inFlight is what runs on the node beyond its base share; it counts as lent while the lease lasts.
+	sequence    uint64
+	wanted      Amounts
+	// inFlight is the number of requests that run on the node beyond its base share. It
+	// counts as leased while the lease lasts.
 	inFlight int
-	lent     Amounts
+	leased   Amounts
 	expires  time.Time
-	// former is the largest lease that the node may still go by, since it hasn't named a later one.
-	former        Amounts
-	formerExpires time.Time
+	// previous is the largest earlier lease that the node may still rely on, since it
+	// hasn't acknowledged a later one.
+	previous        Amounts
+	previousExpires time.Time
 }
 
-// update takes a demand in and returns false when a later one is known.
+// update applies a demand. It returns false if a later one is already known.
 func (l *lease) update(now time.Time, demand Demand, options Options) bool {
-	if demand.Incarnation == l.incarnation && demand.Sequence <= l.number {
+	if demand.Incarnation == l.incarnation && demand.Sequence <= l.sequence {
 		return false
 	}
 
-	held := l.counted(now, options)
-	heldExpires := later(l.expires, l.formerExpires)
+	held := l.reserved(now, options)
+	heldExpires := later(l.expires, l.previousExpires)
 
-	if demand.Incarnation == l.incarnation && l.number > 0 && demand.Acknowledged == l.number {
+	if demand.Incarnation == l.incarnation && l.sequence > 0 && demand.Acknowledged == l.sequence {
 		held = l.current(now)
 		heldExpires = l.expires
 	}
 
-	// Another owner may have lent it; it ends before one that begins now.
+	// Another owner may have leased it. That lease expires before one that begins now.
 	if demand.Held.minus(held) != (Amounts{}) {
 		held = held.atLeast(demand.Held)
 		heldExpires = now.Add(options.LeaseDuration)
 	}
 
-	l.former, l.formerExpires = held, heldExpires
+	l.previous, l.previousExpires = held, heldExpires
 	l.incarnation = demand.Incarnation
-	l.number = demand.Sequence
-	l.wants = demand.Wanted
+	l.sequence = demand.Sequence
+	l.wanted = demand.Wanted
 	l.inFlight = demand.InFlight
-	// Report grants anew at once; until then the demand counts among the others.
+	// Report grants a new lease right away; until then, the demand must count with
+	// those of the other nodes.
 	l.expires = later(l.expires, now.Add(options.ReportPeriod))
 
 	return true
 }
 
-func (l *lease) grant(now time.Time, lent Amounts, length time.Duration) {
-	l.lent = lent
-	l.expires = now.Add(length)
+func (l *lease) grant(now time.Time, leased Amounts, duration time.Duration) {
+	l.leased = leased
+	l.expires = now.Add(duration)
 }
 
-// current is the last lease if it hasn't ended.
+// current returns the last lease, or zero if it has expired.
 func (l *lease) current(now time.Time) Amounts {
 	if !now.Before(l.expires) {
 		return Amounts{}
 	}
 
-	return l.lent
+	return l.leased
 }
 
-// counted is the most that the node may hold or have running. What it may have
+// reserved returns the most that the node may hold or have running. What it may have
 // running lasts MaxRunAfterLease longer than what it may hold.
-func (l *lease) counted(now time.Time, options Options) Amounts {
+func (l *lease) reserved(now time.Time, options Options) Amounts {
 	held := l.current(now)
 
-	if now.Before(l.formerExpires) {
-		held = held.atLeast(l.former)
+	if now.Before(l.previousExpires) {
+		held = held.atLeast(l.previous)
 	}
 
 	if now.Before(l.expires.Add(options.MaxRunAfterLease)) {
-		held.Concurrency = max(held.Concurrency, l.lent.Concurrency, float64(l.inFlight))
+		held.Concurrency = max(held.Concurrency, l.leased.Concurrency, float64(l.inFlight))
 	}
 
-	if now.Before(l.formerExpires.Add(options.MaxRunAfterLease)) {
-		held.Concurrency = max(held.Concurrency, l.former.Concurrency)
+	if now.Before(l.previousExpires.Add(options.MaxRunAfterLease)) {
+		held.Concurrency = max(held.Concurrency, l.previous.Concurrency)
 	}
 
 	return held
--- a/internal/limiter/limiter.go
+++ b/internal/limiter/limiter.go
@@ -9,53 +9,54 @@
 	"quincepath.example/quincepath/pkg/classifier"
 )
 
-// Limiter admits requests on one node within its shares. It is safe for
-// concurrent use and calls nothing but its Source while it holds its lock.
+// Limiter admits requests on one node within the node's shares. It is safe for
+// concurrent use. While it holds its lock, it calls nothing but its Source.
 type Limiter struct {
 	options     Options
 	source      Source
 	self        string
 	incarnation uint64
 
-	mu     sync.Mutex
-	known  int
-	view   view
-	owners *chooser.Chooser
-	// number is that of the last report. One series for all limits: a limit that was
-	// forgotten and is used again would else begin anew, and its owner take the
-	// reports for late ones.
-	number  uint64
-	entries map[Key]*entry
-	// refused counts refusals by reason.
-	refused map[string]int64
+	mu         sync.Mutex
+	knownNodes int
+	view       view
+	owners     *chooser.Chooser
+	// sequence is the sequence number of the last report. All limits share it: with a
+	// counter for each limit, one that was evicted and used again would restart at one,
+	// and its owner would drop the reports as late.
+	sequence uint64
+	states   map[Key]*limitState
+	// refusalCounts is keyed by Refusal.Reason.
+	refusalCounts map[string]int64
 }
 
-// New returns a limiter without any share until SetNodes names the live nodes.
-// The incarnation must differ between two lives of a node.
+// New returns a limiter that has no shares until SetNodes is called. The incarnation
+// must differ each time a node starts.
 func New(options Options, source Source, self string, incarnation uint64) *Limiter {
 	options = options.withDefaults()
 
 	return &Limiter{
-		options:     options,
-		source:      source,
-		self:        self,
-		incarnation: incarnation,
-		view:        view{options: options},
-		owners:      chooser.New([]string{self}),
-		entries:     make(map[Key]*entry),
-		refused:     make(map[string]int64),
+		options:       options,
+		source:        source,
+		self:          self,
+		incarnation:   incarnation,
+		view:          view{options: options},
+		owners:        chooser.New([]string{self}),
+		states:        make(map[Key]*limitState),
+		refusalCounts: make(map[string]int64),
 	}
 }
 
-// SetNodes tells which nodes answer, this one included, and how many are known
-// to exist. The part of known nodes that don't answer is left to them.
+// SetNodes sets the nodes that respond, including this one, and the number of nodes
+// known to exist. The part of a limit that belongs to known nodes that don't respond is
+// reserved for them.
 func (l *Limiter) SetNodes(now time.Time, live []string, known int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
 	division := newDivision(l.options, len(live), known)
 	owners := l.owners.WithNodes(live)
-	l.known = known
+	l.knownNodes = known
 
 	if owners == l.owners && division == l.view.current {
 		return
@@ -64,41 +65,43 @@
 	l.owners = owners
 	l.view.set(now, division)
 
-	for key, e := range l.entries {
-		owner := l.owners.Choose(key.text())
-		if owner == e.owner {
+	for key, state := range l.states {
+		owner := l.owners.Choose(key.ownerKey())
+		if owner == state.owner {
 			continue
 		}
 
-		// The new owner must hear at once of what its predecessor lent.
-		e.asked = e.holds() || e.inFlight > 0
-		e.owner = owner
+		// The new owner must learn at once what its predecessor leased out.
+		state.mustReport = state.trackedByOwner() || state.inFlight > 0
+		state.owner = owner
 	}
 }
 
-// RequestReports makes the next reports hold the keys, whatever they are used for here.
+// RequestReports includes the limits in the next reports, whether or not they are in
+// use on this node.
 func (l *Limiter) RequestReports(now time.Time, keys []Key) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
 	for _, key := range keys {
-		if e := l.find(now, key); e != nil {
-			e.asked = true
+		if state := l.stateOf(now, key); state != nil {
+			state.mustReport = true
 		}
 	}
 }
 
-// ShouldWaitForLease says whether a request would be refused only since the node has no lease
-// yet, while it asks for one: the request may then wait for the answer, for a
-// period at most. Refused at once, it would meet a limit of which its
-// organisation uses next to nothing, whenever a few callers come to a quiet node.
+// ShouldWaitForLease reports whether a request would be refused only because the node
+// has no lease yet, while it is requesting one. Such a request may wait for the reply,
+// for one period at most. Otherwise, when a few requests arrive at a node without a
+// lease, some would be refused although their organisation uses almost none of its
+// limit.
 func (l *Limiter) ShouldWaitForLease(now time.Time, service, organisation, class string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
 	for _, name := range [...]string{class, ""} {
-		e := l.find(now, Key{Service: service, Organisation: organisation, Class: name})
-		if e != nil && e.awaits(now, l.options, &l.view) {
+		state := l.stateOf(now, Key{Service: service, Organisation: organisation, Class: name})
+		if state != nil && state.shouldWaitForLease(now, l.options, &l.view) {
 			return true
 		}
 	}
@@ -106,117 +109,120 @@
 	return false
 }
 
-// Admit takes one request in, or says why not and when to come back. Every
-// admitted request needs one call of Done. What the limit by class refuses is no
-// demand on the organisation's whole limit, so the limit by class is asked first.
+// Admit admits one request, or returns why it is refused and when to retry. Every
+// admitted request needs one call of Done. The limit by class is checked first, since a
+// request that it refuses must not count as demand on the organisation's limit over all
+// classes.
 func (l *Limiter) Admit(now time.Time, service, organisation, class string) (Refusal, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
-	byClass := l.find(now, Key{Service: service, Organisation: organisation, Class: class})
-	whole := l.find(now, Key{Service: service, Organisation: organisation})
+	classState := l.stateOf(now, Key{Service: service, Organisation: organisation, Class: class})
+	organisationState := l.stateOf(now, Key{Service: service, Organisation: organisation})
 
-	for _, e := range [...]*entry{byClass, whole} {
-		if e == nil {
+	for _, state := range [...]*limitState{classState, organisationState} {
+		if state == nil {
 			continue
 		}
 
-		if code, retryAfter := e.check(now, l.options); code != classifier.OK {
-			refusal := Refusal{Code: code, ByClass: e == byClass, RetryAfter: retryAfter}
-			l.refused[refusal.Reason()]++
+		if code, retryAfter := state.check(now, l.options); code != classifier.OK {
+			refusal := Refusal{Code: code, ByClass: state == classState, RetryAfter: retryAfter}
+			l.refusalCounts[refusal.Reason()]++
 
 			return refusal, false
 		}
 	}
 
-	for _, e := range [...]*entry{byClass, whole} {
-		if e != nil {
-			e.take(now)
+	for _, state := range [...]*limitState{classState, organisationState} {
+		if state != nil {
+			state.start(now)
 		}
 	}
 
 	return Refusal{}, true
 }
 
-// Done ends an admitted request that generated the given number of tokens. They
-// are paid afterwards, since nobody knows the length of an answer in advance.
+// Done ends an admitted request that generated the given number of tokens. They are
+// charged only now because the length of an answer isn't known in advance.
 func (l *Limiter) Done(now time.Time, service, organisation, class string, tokens int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
 	for _, name := range [...]string{"", class} {
-		e := l.entries[Key{Service: service, Organisation: organisation, Class: name}]
-		if e != nil {
-			e.refresh(now, &l.view)
-			e.finish(now, tokens)
+		state := l.states[Key{Service: service, Organisation: organisation, Class: name}]
+		if state != nil {
+			state.refresh(now, &l.view)
+			state.finish(now, tokens)
 		}
 	}
 }
 
-// RefusalCounts returns the number of refusals by reason since the start.
+// RefusalCounts returns the number of refusals by reason since the limiter was created.
 func (l *Limiter) RefusalCounts() map[string]int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
-	return maps.Clone(l.refused)
+	return maps.Clone(l.refusalCounts)
 }
 
-// Allowed returns the share that the node has of a limit now.
+// Allowed returns the node's current share of a limit.
 func (l *Limiter) Allowed(now time.Time, key Key) Amounts {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
-	if e := l.find(now, key); e != nil {
-		return e.allowed
+	if state := l.stateOf(now, key); state != nil {
+		return state.allowed
 	}
 
 	return Amounts{}
 }
 
-// find returns the state of a limit with its share brought up to now, or nil when there is no limit.
-func (l *Limiter) find(now time.Time, key Key) *entry {
+// stateOf returns the state of a limit, updated to now, or nil if there is no such
+// limit.
+func (l *Limiter) stateOf(now time.Time, key Key) *limitState {
 	limits := l.source.Limits(key)
-	e := l.entries[key]
+	state := l.states[key]
 
-	if e == nil {
+	if state == nil {
 		if limits == (Amounts{}) {
 			return nil
 		}
 
-		e = newEntry(now, limits, &l.view)
-		e.owner = l.owners.Choose(key.text())
-		l.entries[key] = e
+		state = newLimitState(now, limits, &l.view)
+		state.owner = l.owners.Choose(key.ownerKey())
+		l.states[key] = state
 	}
 
-	// Leases by other settings are out of date; the owner must not lend by them for long.
-	if e.limits != limits {
-		e.limits = limits
-		e.asked = e.asked || e.holds()
+	// Leases granted under earlier settings are outdated; the owner must not rely on
+	// them for long.
+	if state.limits != limits {
+		state.limits = limits
+		state.mustReport = state.mustReport || state.trackedByOwner()
 	}
 
-	e.refresh(now, &l.view)
+	state.refresh(now, &l.view)
 
-	return e
+	return state
 }
 
-// DueReports returns the reports that are due, by the node that owns the limits.
-// It also drops limits that were not used for a while.
+// DueReports returns the reports that are due, keyed by the node that owns the limits.
+// It also evicts limits that haven't been used for a while.
 func (l *Limiter) DueReports(now time.Time) map[string][]Demand {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
 	var reports map[string][]Demand
 
-	for key, e := range l.entries {
-		e.refresh(now, &l.view)
+	for key, state := range l.states {
+		state.refresh(now, &l.view)
 
-		if e.forgettable(now, l.options) {
-			delete(l.entries, key)
+		if state.canEvict(now, l.options) {
+			delete(l.states, key)
 
 			continue
 		}
 
-		if !e.due(now, l.options, &l.view) {
+		if !state.isReportDue(now, l.options, &l.view) {
 			continue
 		}
 
@@ -224,29 +230,29 @@
 			reports = make(map[string][]Demand)
 		}
 
-		l.number++
-		demand := e.report(now, key, l.number, &l.view)
+		l.sequence++
+		demand := state.newDemand(now, key, l.sequence, &l.view)
 		demand.Incarnation = l.incarnation
-		demand.KnownNodes = l.known
-		reports[e.owner] = append(reports[e.owner], demand)
+		demand.KnownNodes = l.knownNodes
+		reports[state.owner] = append(reports[state.owner], demand)
 	}
 
 	return reports
 }
 
-// Apply takes the owner's answers. An answer to any but the last report is dropped.
-func (l *Limiter) Apply(now time.Time, shares []LeaseReply) {
+// Apply applies the owner's replies. It drops replies to any report but the last.
+func (l *Limiter) Apply(now time.Time, replies []LeaseReply) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
-	for _, share := range shares {
-		e := l.entries[share.Key]
-		if e == nil || share.Sequence != e.number {
+	for _, reply := range replies {
+		state := l.states[reply.Key]
+		if state == nil || reply.Sequence != state.sequence {
 			continue
 		}
 
-		e.refresh(now, &l.view)
-		e.apply(share, l.options, l.view.even(now, e.limits))
-		e.refresh(now, &l.view)
+		state.refresh(now, &l.view)
+		state.applyReply(reply, l.options, l.view.evenShare(now, state.limits))
+		state.refresh(now, &l.view)
 	}
 }
--- a/internal/limiter/limiter_test.go
+++ b/internal/limiter/limiter_test.go
@@ -9,8 +9,9 @@
 	"quincepath.example/quincepath/pkg/classifier"
 )
 
-// newAlone returns a limiter of the only node, whose base share is the whole limit.
-func newAlone(source Source) *Limiter {
+// newSingleNode returns the limiter of the only node, whose base share is the whole
+// limit.
+func newSingleNode(source Source) *Limiter {
 	l := New(Options{BaseShare: 1}, source, "a", 1)
 	l.SetNodes(start, []string{"a"}, 1)
 
@@ -29,7 +30,7 @@
 
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			l := newAlone(fixedLimits(tt.limits))
+			l := newSingleNode(fixedLimits(tt.limits))
 
 			admit := func(now time.Time) (Refusal, bool) {
 				return l.Admit(now, testKey.Service, testKey.Organisation, "chat")
@@ -52,16 +53,16 @@
 			l.Done(start, testKey.Service, testKey.Organisation, "chat", 0)
 
 			_, ok = admit(start.Add(refusal.RetryAfter))
-			assert.Assert(t, ok, "a caller who obeys Retry-After gets in")
+			assert.Assert(t, ok, "a caller that obeys Retry-After is admitted")
 		})
 	}
 }
 
-// Symptom: refused callers come back in one crowd, and nearly all are refused again.
-// Sequence: 40 callers of an organisation with 2 requests a second come at once.
-// Cause: all are told the same time.
-func TestCrowdGetsInByRetryAfter(t *testing.T) {
-	l := newAlone(fixedLimits(Amounts{Requests: 2}))
+// Guards against refused callers returning all at once, so that nearly all are refused
+// again. Of an organisation with 2 requests a second, 40 callers arrive at once. All
+// were given the same Retry-After.
+func TestRetryAfterSpreadsRefusedCallers(t *testing.T) {
+	l := newSingleNode(fixedLimits(Amounts{Requests: 2}))
 	waiting := make(map[int]time.Time)
 
 	for i := range 40 {
@@ -95,30 +96,30 @@
 }
 
 func TestMemoryIsBounded(t *testing.T) {
-	l := newAlone(fixedLimits(Amounts{Requests: 2, Tokens: 10}))
+	l := newSingleNode(fixedLimits(Amounts{Requests: 2, Tokens: 10}))
 
 	l.Admit(start, testKey.Service, testKey.Organisation, "chat")
 	l.Done(start, testKey.Service, testKey.Organisation, "chat", 1000)
 
 	l.DueReports(start.Add(time.Minute))
-	assert.Equal(t, len(l.entries), 1, "a debt is not forgotten")
+	assert.Equal(t, len(l.states), 1, "a limit with a negative token balance is not evicted")
 
 	l.DueReports(start.Add(3 * time.Minute))
-	assert.Equal(t, len(l.entries), 0)
+	assert.Equal(t, len(l.states), 0)
 }
 
-func TestSameNodesAgainChangeNothing(t *testing.T) {
+func TestSetNodesWithoutChange(t *testing.T) {
 	l := New(Options{}, fixedLimits(Amounts{Requests: 2}), "a", 1)
 
 	for i := range 10 {
 		l.SetNodes(start.Add(time.Duration(i)*time.Second), []string{"a", "b"}, 2)
 	}
 
-	assert.Equal(t, len(l.view.former), 0)
+	assert.Equal(t, len(l.view.past), 0)
 }
 
 func BenchmarkAdmit(b *testing.B) {
-	l := newAlone(fixedLimits(Amounts{Requests: 1e9, Concurrency: 1e9, Tokens: 1e9}))
+	l := newSingleNode(fixedLimits(Amounts{Requests: 1e9, Concurrency: 1e9, Tokens: 1e9}))
 	now := start
 	b.ReportAllocs()
 
--- a/internal/limiter/owner.go
+++ b/internal/limiter/owner.go
@@ -7,74 +7,80 @@
 	"quincepath.example/quincepath/internal/chooser"
 )
 
-// Owner lends out the limits that this node owns. It is safe for concurrent use.
+// Owner leases out the limits that this node owns. It is safe for concurrent use.
 //
-// What is lent, plus the base shares of all nodes, never exceeds a limit:
-//   - A smaller lease counts at its old size until the node says that it knows, or
-//     the old lease ends. A node counts its lease from before its report, the
-//     owner from its answer, so the owner's ends later and no clocks are compared.
-//   - The concurrency of a silent node counts for Options.MaxRunAfterLease longer, since
-//     requests run on.
-//   - A new owner lends no more than nodes say they hold, and one whose view of the
-//     nodes changed no more than by the smallest lately, until all known nodes
-//     have reported or nothing can be left of what others lent.
-//   - An owner that was frozen begins anew, after a time in which it learns whether
-//     it still is the owner: others may have lent meanwhile what it counts as free.
+// The sum of all leases and of the base shares of all nodes never exceeds a limit:
+//
+//   - A reduced lease counts at its old size until the node acknowledges the new one or
+//     the old one expires. A node counts its lease from before it sends its report, the
+//     owner from when it replies. The owner's lease thus expires later, without
+//     comparing clocks.
+//   - The concurrency of a node that stops reporting counts for
+//     Options.MaxRunAfterLease longer, since its requests may still be running.
+//   - A new owner leases no more than nodes report that they hold. An owner whose set
+//     of nodes has changed leases no more than the least that recent sets of nodes
+//     allow. This lasts until all known nodes have reported, or until no lease from
+//     other owners can remain.
+//   - An owner that was frozen drops all leases and waits until it has learned whether
+//     it still is the owner: another owner may meanwhile have leased what it counts as
+//     free.
 type Owner struct {
 	options Options
 	source  Source
 	self    string
 
-	mu     sync.Mutex
-	known  int
-	live   []string
-	view   view
-	owners *chooser.Chooser
-	// epoch counts the views of the nodes, changed is when the last came.
-	epoch   uint64
-	changed time.Time
-	// seen is when the owner last ran; quietUntil is until when it answers nobody.
-	seen       time.Time
-	quietUntil time.Time
-	leases     map[Key]*leaseSet
+	mu         sync.Mutex
+	knownNodes int
+	liveNodes  []string
+	view       view
+	owners     *chooser.Chooser
+	// epoch is incremented with each change of the set of nodes; nodesChangedAt is when
+	// it last changed.
+	epoch          uint64
+	nodesChangedAt time.Time
+	// lastActive is when the owner last ran. Until pausedUntil, it answers no reports.
+	lastActive  time.Time
+	pausedUntil time.Time
+	leases      map[Key]*leaseSet
 }
 
-// NewOwner returns an owner that lends nothing new until its predecessor's leases have ended.
+// NewOwner returns an owner that renews what nodes hold, but leases nothing more until
+// the leases of its predecessor have expired or all known nodes have reported.
 func NewOwner(now time.Time, options Options, source Source, self string) *Owner {
 	options = options.withDefaults()
 
 	return &Owner{
-		options: options,
-		source:  source,
-		self:    self,
-		view:    view{options: options},
-		owners:  chooser.New(nil),
-		changed: now,
-		seen:    now,
-		leases:  make(map[Key]*leaseSet),
+		options:        options,
+		source:         source,
+		self:           self,
+		view:           view{options: options},
+		owners:         chooser.New(nil),
+		nodesChangedAt: now,
+		lastActive:     now,
+		leases:         make(map[Key]*leaseSet),
 	}
 }
 
-// SetNodes tells which nodes answer, this one included, and how many are known
-// to exist. Limits that have another owner now are forgotten.
+// SetNodes sets the nodes that respond, including this one, and the number of nodes
+// known to exist. Limits that now have another owner are dropped.
 func (o *Owner) SetNodes(now time.Time, live []string, known int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 
-	o.noticeFreeze(now)
+	o.detectPause(now)
 
 	owners := o.owners.WithNodes(live)
 
-	if owners == o.owners && o.known == known {
+	if owners == o.owners && o.knownNodes == known {
 		return
 	}
 
 	o.owners = owners
-	o.live = live
-	o.known = known
+	o.liveNodes = live
+	o.knownNodes = known
 	o.view.set(now, newDivision(o.options, len(live), known))
 	o.epoch++
-	o.changed = now
+	o.nodesChangedAt = now
 
 	for key := range o.leases {
 		if !o.owns(key) {
@@ -83,144 +89,147 @@
 	}
 }
 
-// noticeFreeze forgets all leases after a pause that others may have noticed.
-func (o *Owner) noticeFreeze(now time.Time) {
-	if now.Sub(o.seen) > o.options.MaxDetectionTime {
+// detectPause drops all leases if this node was frozen for so long that other nodes may
+// have replaced it.
+func (o *Owner) detectPause(now time.Time) {
+	if now.Sub(o.lastActive) > o.options.MaxDetectionTime {
 		o.epoch++
-		o.changed = now
-		o.quietUntil = now.Add(o.options.MaxDetectionTime)
+		o.nodesChangedAt = now
+		o.pausedUntil = now.Add(o.options.MaxDetectionTime)
 		clear(o.leases)
 	}
 
-	o.seen = now
+	o.lastActive = now
 }
 
 func (o *Owner) owns(key Key) bool {
-	return o.owners.Choose(key.text()) == o.self
+	return o.owners.Choose(key.ownerKey()) == o.self
 }
 
-// Report takes a node's demand and returns its lease. It returns false when this
-// node doesn't own the limit in its own view, knows a later report, or was frozen.
+// Report applies a node's demand and returns its lease. It returns false if this node
+// doesn't own the limit as far as it knows, already has a later report, or was frozen.
 func (o *Owner) Report(now time.Time, node string, demand Demand) (LeaseReply, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 
-	o.noticeFreeze(now)
+	o.detectPause(now)
 
-	if now.Before(o.quietUntil) || !o.owns(demand.Key) {
+	if now.Before(o.pausedUntil) || !o.owns(demand.Key) {
 		return LeaseReply{}, false
 	}
 
 	s := o.leases[demand.Key]
 	if s == nil {
-		s = newLeaseSet(o.changed.Add(o.options.lapse()))
+		s = newLeaseSet(o.nodesChangedAt.Add(o.options.leaseDrainTime()))
 		o.leases[demand.Key] = s
 	}
 
-	l := s.of(node)
+	l := s.leaseFor(node)
 	if !l.update(now, demand, o.options) {
 		return LeaseReply{}, false
 	}
 
-	if demand.KnownNodes == o.known {
-		s.hear(node, o.epoch, o.live, o.known)
+	if demand.KnownNodes == o.knownNodes {
+		s.recordReport(node, o.epoch, o.liveNodes, o.knownNodes)
 	}
 
-	pool := o.pool(now, s, o.source.Limits(demand.Key))
-	lent := s.part(now, l, pool, len(o.live)).atMost(pool.minus(s.others(now, node, o.options)))
+	leasable := o.leasable(now, s, o.source.Limits(demand.Key))
+	leased := s.shareOf(now, l, leasable, len(o.liveNodes)).atMost(leasable.minus(s.reservedByOthers(now, node, o.options)))
 
-	if now.Before(s.graceEnds) {
-		lent = lent.atMost(demand.Held)
+	if now.Before(s.graceEndsAt) {
+		leased = leased.atMost(demand.Held)
 	}
 
-	lent = lent.whole().brief()
-	l.grant(now, lent, o.options.LeaseDuration)
-	s.unsettled = true
+	leased = leased.floorConcurrency().roundDown()
+	l.grant(now, leased, o.options.LeaseDuration)
+	s.maybeUnmet = true
 
-	return LeaseReply{Key: demand.Key, Sequence: demand.Sequence, Leased: lent}, true
+	return LeaseReply{Key: demand.Key, Sequence: demand.Sequence, Leased: leased}, true
 }
 
-// pool is what may be lent of a limit.
-func (o *Owner) pool(now time.Time, s *leaseSet, limits Amounts) Amounts {
-	if s.complete == o.epoch {
-		return o.view.current.pool(limits)
+// leasable returns the part of a limit that may be leased.
+func (o *Owner) leasable(now time.Time, s *leaseSet, limits Amounts) Amounts {
+	if s.completeEpoch == o.epoch {
+		return o.view.current.leasable(limits)
 	}
 
-	return o.view.pool(now, limits)
+	return o.view.leasable(now, limits)
 }
 
-// ReportRequests returns the limits that nodes are to report on, by node, so that some
-// node that wants more can have it: those who hold more than their part, those
-// who may have more, and all who have not reported since the nodes changed.
+// ReportRequests returns the limits that nodes should report on, by node, so that a
+// node that wants more can get it: from nodes that hold more than their fair share,
+// nodes that may have more, and all nodes that haven't reported since the set of nodes
+// changed.
 func (o *Owner) ReportRequests(now time.Time) map[string][]Key {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 
-	o.noticeFreeze(now)
+	o.detectPause(now)
 
-	if now.Before(o.quietUntil) {
+	if now.Before(o.pausedUntil) {
 		return nil
 	}
 
-	var asks map[string][]Key
+	var requests map[string][]Key
 
 	for key, s := range o.leases {
-		if !s.unsettled || now.Before(s.nextAsk) {
+		if !s.maybeUnmet || now.Before(s.nextRequestAt) {
 			continue
 		}
 
-		s.nextAsk = now.Add(o.options.ReportPeriod)
+		s.nextRequestAt = now.Add(o.options.ReportPeriod)
 
-		for _, node := range o.toAsk(now, s, o.source.Limits(key)) {
-			if asks == nil {
-				asks = make(map[string][]Key)
+		for _, node := range o.nodesToRequest(now, s, o.source.Limits(key)) {
+			if requests == nil {
+				requests = make(map[string][]Key)
 			}
 
-			asks[node] = append(asks[node], key)
+			requests[node] = append(requests[node], key)
 		}
 	}
 
-	return asks
+	return requests
 }
 
-func (o *Owner) toAsk(now time.Time, s *leaseSet, limits Amounts) []string {
-	even := o.view.current.even(limits)
-	s.unsettled = s.short(now, even)
+func (o *Owner) nodesToRequest(now time.Time, s *leaseSet, limits Amounts) []string {
+	even := o.view.current.evenShare(limits)
+	s.maybeUnmet = s.hasUnmetDemand(now, even)
 
-	if !s.unsettled {
+	if !s.maybeUnmet {
 		return nil
 	}
 
 	var nodes []string
 
-	if s.complete != o.epoch && now.Sub(o.changed) < o.options.lapse() {
-		nodes = s.unheard(o.epoch, o.live)
+	if s.completeEpoch != o.epoch && now.Sub(o.nodesChangedAt) < o.options.leaseDrainTime() {
+		nodes = s.notReported(o.epoch, o.liveNodes)
 	}
 
-	if now.Before(s.graceEnds) {
+	if now.Before(s.graceEndsAt) {
 		return nodes
 	}
 
-	pool := o.pool(now, s, limits)
+	leasable := o.leasable(now, s, limits)
 
-	return append(nodes, s.misfits(now, s.levels(now, pool), pool.minus(s.others(now, "", o.options)), even)...)
+	return append(nodes, s.nodesToAdjust(now, s.fairLevels(now, leasable), leasable.minus(s.reservedByOthers(now, "", o.options)), even)...)
 }
 
-// Sweep forgets limits that nobody holds a lease of. It is to be called every few seconds.
+// Sweep drops limits on which no node holds a lease. It should be called every few
+// seconds: a gap longer than Options.MaxDetectionTime counts as a freeze.
 func (o *Owner) Sweep(now time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 
-	o.noticeFreeze(now)
+	o.detectPause(now)
 
 	for key, s := range o.leases {
 		for node, l := range s.byNode {
-			if l.counted(now, o.options) == (Amounts{}) && !now.Before(l.expires) {
+			if l.reserved(now, o.options) == (Amounts{}) && !now.Before(l.expires) {
 				delete(s.byNode, node)
 			}
 		}
 
-		if len(s.byNode) == 0 && now.Sub(o.changed) >= o.options.lapse() {
+		if len(s.byNode) == 0 && now.Sub(o.nodesChangedAt) >= o.options.leaseDrainTime() {
 			delete(o.leases, key)
 		}
 	}
--- a/internal/limiter/rpc.go
+++ b/internal/limiter/rpc.go
@@ -12,13 +12,15 @@
 )
 
 const (
-	// MethodReport is the name of the message from a node to an owner of limits.
+	// MethodReport is the method by which a node reports its demand to an owner of
+	// limits.
 	MethodReport = "limit.report"
-	// MethodRequestReports is the name of that by which an owner asks for reports.
+	// MethodRequestReports is the method by which an owner requests reports from a
+	// node.
 	MethodRequestReports = "limit.ask"
 )
 
-// Caller sends a message to a node and waits for its answer.
+// Caller sends a message to a node and waits for its reply.
 type Caller interface {
 	Call(ctx context.Context, peer, method string, params, result any) error
 }
@@ -29,18 +31,18 @@
 	Demands     []Demand `json:"demands"`
 }
 
-// reportResult has a share for each demand, in the same order.
+// reportResult contains a reply to each demand, in the same order.
 type reportResult struct {
-	Shares []LeaseReply `json:"shares"`
+	Replies []LeaseReply `json:"shares"`
 }
 
-type askParams struct {
+type requestReportsParams struct {
 	Keys []Key `json:"keys"`
 }
 
-type askResult struct{}
+type requestReportsResult struct{}
 
-// HandleReport answers MethodReport from another node.
+// HandleReport handles MethodReport.
 func (o *Owner) HandleReport(_ context.Context, from string, params json.RawMessage) (any, error) {
 	var report reportParams
 
@@ -53,52 +55,52 @@
 		report.Demands[i].KnownNodes = report.Known
 	}
 
-	return reportResult{Shares: o.reportAll(from, report.Demands)}, nil
+	return reportResult{Replies: o.reportAll(from, report.Demands)}, nil
 }
 
 func (o *Owner) reportAll(from string, demands []Demand) []LeaseReply {
 	now := time.Now()
-	shares := make([]LeaseReply, 0, len(demands))
+	replies := make([]LeaseReply, 0, len(demands))
 
 	for _, demand := range demands {
-		share, _ := o.Report(now, from, demand)
-		shares = append(shares, share)
+		reply, _ := o.Report(now, from, demand)
+		replies = append(replies, reply)
 	}
 
-	return shares
+	return replies
 }
 
-// HandleReportRequest answers MethodAsk from an owner of limits.
+// HandleReportRequest handles MethodRequestReports.
 func (l *Limiter) HandleReportRequest(_ context.Context, _ string, params json.RawMessage) (any, error) {
-	var ask askParams
+	var request requestReportsParams
 
-	if err := json.Unmarshal(params, &ask); err != nil {
+	if err := json.Unmarshal(params, &request); err != nil {
 		return nil, classifier.Wrap(err, classifier.InvalidRequest, "a question about limits can't be read")
 	}
 
-	l.RequestReports(time.Now(), ask.Keys)
+	l.RequestReports(time.Now(), request.Keys)
 
-	return askResult{}, nil
+	return requestReportsResult{}, nil
 }
 
-// applyAll takes the shares that answer the demands.
-func (l *Limiter) applyAll(demands []Demand, shares []LeaseReply) {
-	shares = shares[:min(len(shares), len(demands))]
+// applyAll applies the replies to the demands.
+func (l *Limiter) applyAll(demands []Demand, replies []LeaseReply) {
+	replies = replies[:min(len(replies), len(demands))]
 
-	for i := range shares {
-		shares[i].Key = demands[i].Key
+	for i := range replies {
+		replies[i].Key = demands[i].Key
 	}
 
-	l.Apply(time.Now(), shares)
+	l.Apply(time.Now(), replies)
 }
 
-// Exchange asks for the reports that the local owner needs, sends those that are
-// due and applies the answers. It is to be called every quarter of Options.ReportPeriod;
-// each call ends within that time, so that one silent owner doesn't delay the
-// others. The error is for the log: the limiter itself allows for owners that
-// don't answer.
+// Exchange requests the reports that the local owner needs, sends those that are due
+// and applies the replies. It should be called every quarter of Options.ReportPeriod.
+// Each call returns within that time, so that an unresponsive owner doesn't delay the
+// others. The error is meant for logging only, since the limiter handles owners that
+// don't respond.
 func (l *Limiter) Exchange(ctx context.Context, caller Caller, local *Owner) error {
-	ctx, cancel := context.WithTimeout(ctx, l.options.ReportPeriod/roundsPerPeriod)
+	ctx, cancel := context.WithTimeout(ctx, l.options.ReportPeriod/exchangesPerPeriod)
 	defer cancel()
 
 	var (
@@ -116,7 +118,7 @@
 		mu.Lock()
 		defer mu.Unlock()
 
-		failures = errors.CombineErrors(failures, errors.Wrapf(err, "%s to %s", method, peer))
+		failures = errors.CombineErrors(failures, errors.Wrapf(err, "send %s to node %s", method, peer))
 
 		return false
 	}
@@ -128,7 +130,7 @@
 			continue
 		}
 
-		group.Go(func() { call(node, MethodRequestReports, askParams{Keys: keys}, &askResult{}) })
+		group.Go(func() { call(node, MethodRequestReports, requestReportsParams{Keys: keys}, &requestReportsResult{}) })
 	}
 
 	for owner, demands := range l.DueReports(time.Now()) {
@@ -143,7 +145,7 @@
 
 			params := reportParams{Incarnation: demands[0].Incarnation, Known: demands[0].KnownNodes, Demands: demands}
 			if call(owner, MethodReport, params, &result) {
-				l.applyAll(demands, result.Shares)
+				l.applyAll(demands, result.Replies)
 			}
 		})
 	}
--- a/internal/limiter/rpc_test.go
+++ b/internal/limiter/rpc_test.go
@@ -11,19 +11,19 @@
 	"gotest.tools/v3/assert"
 )
 
-// wire carries calls to owners as JSON and counts the bytes.
-type wire struct {
+// fakeCaller passes calls to owners as JSON and counts the bytes.
+type fakeCaller struct {
 	owners map[string]*Owner
 	bytes  int
 }
 
-var errSilent = errors.New("no answer")
+var errNoAnswer = errors.New("no answer")
 
-func (w *wire) Call(ctx context.Context, peer, method string, params, result any) error {
-	if w.owners[peer] == nil {
+func (c *fakeCaller) Call(ctx context.Context, peer, method string, params, result any) error {
+	if c.owners[peer] == nil {
 		<-ctx.Done()
 
-		return errSilent
+		return errNoAnswer
 	}
 
 	sent, err := json.Marshal(params)
@@ -31,7 +31,7 @@
 		return err
 	}
 
-	answer, err := w.owners[peer].HandleReport(ctx, "c", sent)
+	answer, err := c.owners[peer].HandleReport(ctx, "c", sent)
 	if err != nil {
 		return err
 	}
@@ -41,7 +41,7 @@
 		return err
 	}
 
-	w.bytes += len(method) + len(sent) + len(received)
+	c.bytes += len(method) + len(sent) + len(received)
 
 	return json.Unmarshal(received, result)
 }
@@ -58,13 +58,13 @@
 		local.SetNodes(time.Now(), names, 2)
 		remote.SetNodes(time.Now(), names, 2)
 
-		for range l.options.lapse() / time.Second {
+		for range l.options.leaseDrainTime() / time.Second {
 			time.Sleep(time.Second)
 			local.Sweep(time.Now())
 			remote.Sweep(time.Now())
 		}
 
-		calls := &wire{owners: map[string]*Owner{"b": remote}}
+		calls := &fakeCaller{owners: map[string]*Owner{"b": remote}}
 
 		for range 20 {
 			time.Sleep(250 * time.Millisecond)
@@ -82,7 +82,7 @@
 		_, err := remote.HandleReport(t.Context(), "c", json.RawMessage("{"))
 		assert.ErrorContains(t, err, "can't be read")
 
-		assert.Equal(t, l.entries[testKey].owner, "b")
+		assert.Equal(t, l.states[testKey].owner, "b")
 
 		calls.owners = nil
 		started := time.Now()
--- a/internal/limiter/shares_test.go
+++ b/internal/limiter/shares_test.go
@@ -11,15 +11,15 @@
 
 func second() time.Duration { return time.Second }
 
-// within says whether no amount is above the limit by more than rounding.
+// within reports whether no amount exceeds the limit by more than rounding errors.
 func within(amounts, limits Amounts) bool {
 	return amounts.minus(limits.times(1+1e-9)) == (Amounts{})
 }
 
-// Symptom: an organisation gets several times its limit.
-// Sequence: reports and answers are lost or late, nodes crash, restart and join
-// while leases run, and each node learns of it at another time.
-// Cause: a lease is given on before its holder has surely stopped using it.
+// Guards against an organisation getting several times its limit. Reports and replies
+// are lost or late, nodes crash, restart and join while leases are valid, and each node
+// detects it at a different time. A lease was granted to another node before its holder
+// had certainly stopped using it.
 func TestSharesNeverExceedTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := Amounts{Requests: 40, Tokens: 500}
@@ -30,7 +30,7 @@
 		rates := make(map[string]int)
 
 		for range rapid.IntRange(1, 8).Draw(t, "phases") {
-			disturb(t, c)
+			changeMembers(t, c)
 
 			for _, name := range c.names() {
 				rates[name] = rapid.IntRange(0, 3).Draw(t, "rate")
@@ -39,38 +39,38 @@
 			for range rapid.IntRange(60, 200).Draw(t, "ticks") {
 				c.step(func(name string) int { return c.random.IntN(rates[name] + 1) }, second, 20)
 
-				sum, total, alone := c.allowed()
+				sum, total, onEvenShare := c.sumAllowed()
 				assert.Assert(t, within(sum, limits), "%+v", sum)
-				assert.Assert(t, within(total, limits.times(2)), "%+v with %d alone", total, alone)
+				assert.Assert(t, within(total, limits.times(2)), "%+v with %d nodes on an even share", total, onEvenShare)
 			}
 		}
 	})
 }
 
-// disturb changes the members. A change comes 3 s at least after the one before it.
-func disturb(t *rapid.T, c *cluster) {
+// changeMembers changes the members. Changes are at least 3 s apart.
+func changeMembers(t *rapid.T, c *cluster) {
 	names := c.names()
 	name := rapid.SampledFrom(names).Draw(t, "node")
 
 	switch rapid.IntRange(0, 4).Draw(t, "disturbance") {
 	case 0:
-		c.add(fmt.Sprintf("m%02d", c.lives))
-		c.changed()
+		c.add(fmt.Sprintf("m%02d", c.incarnations))
+		c.announceMembers()
 	case 1:
 		if len(names) > 2 {
 			delete(c.nodes, name)
-			c.changed()
+			c.announceMembers()
 		}
 	case 2:
-		// A restart under the same name: what it held and lent is forgotten.
+		// A restart under the same name forgets all leases, held and granted.
 		c.add(name)
-		c.view(name, names)
+		c.setView(name, names)
 	}
 }
 
-// Symptom: an organisation gets its whole limit on each side of a cut network.
-// Sequence: the known nodes fall into sides that don't hear each other.
-// Cause: each side divides the limit by the nodes that it hears.
+// Guards against an organisation getting its whole limit on each side of a network
+// partition. The known nodes are split into groups that don't reach each other. Each
+// group divided the limit by the nodes that it reached.
 func TestSidesOfACutShareTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := Amounts{Requests: 40, Concurrency: float64(rapid.IntRange(1, 50).Draw(t, "limit")), Tokens: 500}
@@ -81,24 +81,24 @@
 			known += live
 		}
 
-		var lent, even Amounts
+		var usable, even Amounts
 
 		for _, live := range sides {
 			divided := newDivision(Options{}.withDefaults(), live, known)
-			lent = lent.plus(divided.pool(limits)).plus(divided.base(limits).times(float64(live)))
-			even = even.plus(divided.even(limits).times(float64(live)))
+			usable = usable.plus(divided.leasable(limits)).plus(divided.baseShare(limits).times(float64(live)))
+			even = even.plus(divided.evenShare(limits).times(float64(live)))
 		}
 
 		assert.Assert(t, within(even, limits), "%+v", even)
-		assert.Assert(t, within(lent, limits), "%+v", lent)
+		assert.Assert(t, within(usable, limits), "%+v", usable)
 	})
 }
 
-// Symptom: more requests run at once than the limit, just after a node joined.
-// Sequence: with a fourth node the base share falls from one request to none and
-// the pool grows; the owner learns of the node before the others and lends more.
-// Cause: the larger pool counts before all nodes have given up their base share.
-func TestLargerPartWaitsUntilAllNodesKnow(t *testing.T) {
+// Guards against running more requests at once than the limit just after a node joined.
+// With a fourth node the base share falls from one request to none and the leasable
+// part grows. The owner learned of the node before the others did, and leased the
+// larger part before all nodes had given up their base share.
+func TestLargerShareWaitsUntilAllNodesKnow(t *testing.T) {
 	options := Options{}.withDefaults()
 	limits := Amounts{Concurrency: 6}
 	v := view{options: options}
@@ -106,14 +106,14 @@
 	v.set(start, newDivision(options, 3, 3))
 
 	joined := start.Add(time.Minute)
-	assert.Equal(t, v.base(joined, limits).Concurrency, 1.0)
-	assert.Equal(t, v.pool(joined, limits).Concurrency, 3.0)
+	assert.Equal(t, v.baseShare(joined, limits).Concurrency, 1.0)
+	assert.Equal(t, v.leasable(joined, limits).Concurrency, 3.0)
 
 	v.set(joined, newDivision(options, 4, 4))
-	assert.Equal(t, v.base(joined, limits).Concurrency, 0.0)
-	assert.Equal(t, v.pool(joined, limits).Concurrency, 3.0)
-	assert.Equal(t, v.pool(joined.Add(options.lapse()-1), limits).Concurrency, 3.0)
-	assert.Equal(t, v.pool(joined.Add(options.lapse()), limits).Concurrency, 6.0)
+	assert.Equal(t, v.baseShare(joined, limits).Concurrency, 0.0)
+	assert.Equal(t, v.leasable(joined, limits).Concurrency, 3.0)
+	assert.Equal(t, v.leasable(joined.Add(options.leaseDrainTime()-1), limits).Concurrency, 3.0)
+	assert.Equal(t, v.leasable(joined.Add(options.leaseDrainTime()), limits).Concurrency, 6.0)
 }
 
 func TestConcurrencyHoldsAcrossNodes(t *testing.T) {
@@ -124,16 +124,16 @@
 
 		for i := range 600 {
 			busy := fmt.Sprintf("n%02d", i/100)
-			length := func() time.Duration { return time.Duration(100+c.random.IntN(8000)) * time.Millisecond }
+			duration := func() time.Duration { return time.Duration(100+c.random.IntN(8000)) * time.Millisecond }
 			c.step(func(name string) int {
 				if name == busy {
 					return 2
 				}
 
 				return c.random.IntN(2)
-			}, length, 0)
+			}, duration, 0)
 
-			assert.Assert(t, c.running() <= int(limits.Concurrency), "%d run", c.running())
+			assert.Assert(t, c.running() <= int(limits.Concurrency), "%d requests run", c.running())
 		}
 	})
 }
@@ -143,12 +143,12 @@
 	tests := map[string]struct {
 		busy, perTick int
 		delay         time.Duration
-		least         float64
+		minUse        float64
 	}{
-		"one node of nine has all the demand": {1, 4, 10 * time.Millisecond, 0.85},
-		"all nine want more than they get":    {9, 1, 10 * time.Millisecond, 0.95},
-		"three of nine":                       {3, 2, 10 * time.Millisecond, 0.90},
-		"one of nine, slow network":           {1, 4, 450 * time.Millisecond, 0.85},
+		"one node of nine has all demand":        {1, 4, 10 * time.Millisecond, 0.85},
+		"all nine nodes want more than they get": {9, 1, 10 * time.Millisecond, 0.95},
+		"three nodes of nine have all demand":    {3, 2, 10 * time.Millisecond, 0.90},
+		"one node of nine, slow network":         {1, 4, 450 * time.Millisecond, 0.85},
 	}
 
 	for name, tt := range tests {
@@ -164,9 +164,9 @@
 			}
 
 			count := func(ticks int) float64 {
-				before := 0
+				admitted := 0
 				for _, n := range c.nodes {
-					before -= n.admitted
+					admitted -= n.admitted
 				}
 
 				for range ticks {
@@ -174,24 +174,24 @@
 				}
 
 				for _, n := range c.nodes {
-					before += n.admitted
+					admitted += n.admitted
 				}
 
-				return float64(before)
+				return float64(admitted)
 			}
 
 			count(100)
-			share := count(1200) / (60 * limits.Requests)
-			t.Logf("%.3f of the limit was used", share)
-			assert.Assert(t, share >= tt.least && share <= 1+1.0/60, "%f", share)
+			used := count(1200) / (60 * limits.Requests)
+			t.Logf("%.3f of the limit was used", used)
+			assert.Assert(t, used >= tt.minUse && used <= 1+1.0/60, "%f", used)
 		})
 	}
 }
 
-// Symptom: an organisation within its limit is refused for as long as one node is down.
-// Sequence: the owner of its limit is frozen, still listed, and answers nobody.
-// Cause: the share ends with the lease, and no other share takes its place.
-func TestSilentOwner(t *testing.T) {
+// Guards against refusing an organisation within its limit for as long as one node is
+// down. The owner of the limit is frozen and still listed, and doesn't respond. The
+// nodes' shares expired with their leases and nothing replaced them.
+func TestUnresponsiveOwner(t *testing.T) {
 	c := newCluster(1, Amounts{Requests: 90}, 9)
 	arrivals := func(name string) int { return 1 }
 
@@ -206,37 +206,38 @@
 		other = c.nodes["n01"]
 	}
 
-	c.cut[owner] = true
-	lent := other.limiter.Allowed(c.now, testKey).Requests
+	c.unreachable[owner] = true
+	leased := other.limiter.Allowed(c.now, testKey).Requests
 
-	steps := func(length time.Duration) {
-		for range int(length / tick) {
+	steps := func(duration time.Duration) {
+		for range int(duration / tick) {
 			c.step(arrivals, second, 0)
 		}
 	}
-	lease := other.limiter.options.LeaseDuration
+	leaseDuration := other.limiter.options.LeaseDuration
 
-	steps(lease / 2)
-	assert.Assert(t, other.limiter.Allowed(c.now, testKey).Requests >= 0.9*lent, "the last share is kept for a while")
+	steps(leaseDuration / 2)
+	assert.Assert(t, other.limiter.Allowed(c.now, testKey).Requests >= 0.9*leased, "the last lease is kept until it expires")
 
-	steps(lease)
-	assert.Equal(t, other.limiter.Allowed(c.now, testKey).Requests, 10.0, "then an even part of the limit")
+	steps(leaseDuration)
+	assert.Equal(t, other.limiter.Allowed(c.now, testKey).Requests, 10.0, "then the node falls back to an even share of the limit")
 
-	_, total, _ := c.allowed()
+	_, total, _ := c.sumAllowed()
 	assert.Assert(t, total.Requests <= 2*90)
 
-	c.cut[owner] = false
+	c.unreachable[owner] = false
 
 	steps(2 * time.Second)
 
-	sum, total, alone := c.allowed()
-	assert.Equal(t, alone, 0)
+	sum, total, onEvenShare := c.sumAllowed()
+	assert.Equal(t, onEvenShare, 0)
 	assert.Equal(t, sum, total)
 }
 
-// Symptom: an organisation within its limit is refused for some seconds whenever a node goes.
-// Sequence: the owner of its limit crashes; the next owner knows no leases and waits for the old ones to end.
-// Cause: the next owner lends nothing meanwhile, not even what nodes say they hold.
+// Guards against refusing an organisation within its limit for some seconds whenever a
+// node goes down. The owner of the limit crashes, and the next owner knows of no leases
+// and waits for the old ones to expire. Meanwhile it granted nothing, not even what
+// nodes reported as held.
 func TestNextOwnerRenewsLoans(t *testing.T) {
 	c := newCluster(1, Amounts{Requests: 90}, 9)
 	busy := "n00"
@@ -247,26 +248,27 @@
 
 	arrivals := func(name string) int { return map[bool]int{true: 2}[name == busy] }
 
-	// Past the first renewal: what a node asks for at first is measured over a quarter of a period.
+	// Wait past the first renewal, since a node's first demand is measured over only a
+	// quarter of a period.
 	for range 600 {
 		c.step(arrivals, second, 0)
 	}
 
-	lent := c.nodes[busy].limiter.Allowed(c.now, testKey).Requests
-	assert.Assert(t, lent > 50, "%f", lent)
+	leased := c.nodes[busy].limiter.Allowed(c.now, testKey).Requests
+	assert.Assert(t, leased > 50, "%f", leased)
 
 	delete(c.nodes, c.ownerName())
-	c.changed()
+	c.announceMembers()
 
 	for range 300 {
 		c.step(arrivals, second, 0)
-		assert.Assert(t, c.nodes[busy].limiter.Allowed(c.now, testKey).Requests > 0.9*lent)
+		assert.Assert(t, c.nodes[busy].limiter.Allowed(c.now, testKey).Requests > 0.9*leased)
 	}
 }
 
-// Symptom: after a start of all nodes, or of one, organisations far below their limits are refused for seconds.
-// Sequence: no node has a lease, and new owners wait for leases that may be out.
-// Cause: nothing is granted until all that could have been lent has ended.
+// Guards against refusing organisations far below their limits for seconds after one
+// node or all nodes start. No node has a lease, and new owners wait for leases that may
+// be in force. Nothing was granted until all possible leases had expired.
 func TestFreshNodesServeAtOnce(t *testing.T) {
 	tests := map[string]func(c *cluster){
 		"all nodes start": func(c *cluster) {
@@ -275,12 +277,12 @@
 			}
 
 			for _, name := range c.names() {
-				c.view(name, c.names())
+				c.setView(name, c.names())
 			}
 		},
 		"one node starts": func(c *cluster) {
 			c.add("n04")
-			c.view("n04", c.names())
+			c.setView("n04", c.names())
 		},
 	}
 
@@ -314,32 +316,31 @@
 				c.step(arrivals, second, 0)
 			}
 
-			assert.Equal(t, refused(), early, "none is refused after 2 s")
+			assert.Equal(t, refused(), early, "no request is refused after 2 s")
 		})
 	}
 }
 
-// Symptom: requests of two nodes together exceed the concurrency limit for a moment.
-// Sequence: a node with a lease falls idle and sends no more reports; just before
-// the lease ends it admits requests; the owner counts the lease as ended and lends
-// it to another node, while these requests run.
-// Cause: the owner knows what runs from reports alone, and none came.
-func TestLoanIsReportedOnUntilReturned(t *testing.T) {
+// Guards against two nodes exceeding the concurrency limit together for a moment. A
+// node with a lease becomes idle and stops reporting, then admits requests just before
+// the lease expires. The owner learned from reports alone what was running, so it
+// counted the lease as expired and granted it to another node while these requests ran.
+func TestLeaseIsReportedUntilReturned(t *testing.T) {
 	l := New(Options{}, fixedLimits(Amounts{Concurrency: 9}), "b", 1)
 	l.SetNodes(start, []string{"a", "b"}, 2)
 
 	now := start.Add(10 * time.Second)
 	_, ok := l.Admit(now, testKey.Service, testKey.Organisation, "chat")
-	assert.Assert(t, ok, "a first request needs no lease")
+	assert.Assert(t, ok, "the first request needs no lease")
 	l.Done(now, testKey.Service, testKey.Organisation, "chat", 0)
 
 	reported := now
 	reports := 0
 
 	for ; now.Before(start.Add(5 * time.Minute)); now = now.Add(time.Second) {
-		demands := l.DueReports(now)[l.entries[testKey].owner]
+		demands := l.DueReports(now)[l.states[testKey].owner]
 		if len(demands) == 0 {
-			assert.Assert(t, now.Sub(reported) < l.options.renewAfter(), "second %s", now.Sub(start))
+			assert.Assert(t, now.Sub(reported) < l.options.renewInterval(), "no report at %s", now.Sub(start))
 
 			continue
 		}
@@ -347,26 +348,26 @@
 		reported = now
 		reports++
 
-		// The owner takes the lease back only when the node has been idle for long.
+		// The owner takes the lease back only once the node has been idle for long.
 		l.Apply(now, []LeaseReply{{Key: testKey, Sequence: demands[0].Sequence, Leased: Amounts{Concurrency: 4}}})
 	}
 
 	assert.Assert(t, reports <= 16, "%d reports in five minutes without use", reports)
 
 	l.RequestReports(now, []Key{testKey})
-	returned := l.DueReports(now)[l.entries[testKey].owner]
+	returned := l.DueReports(now)[l.states[testKey].owner]
 	l.Apply(now, []LeaseReply{{Key: testKey, Sequence: returned[0].Sequence}})
 
-	acknowledged := l.DueReports(now.Add(time.Second))[l.entries[testKey].owner]
-	assert.Equal(t, acknowledged[0].Acknowledged, returned[0].Sequence, "until it hears that the node knows, the owner counts the lease")
+	acknowledged := l.DueReports(now.Add(time.Second))[l.states[testKey].owner]
+	assert.Equal(t, acknowledged[0].Acknowledged, returned[0].Sequence, "the owner counts the lease until the node acknowledges its return")
 	l.Apply(now, []LeaseReply{{Key: testKey, Sequence: acknowledged[0].Sequence}})
 
 	assert.Equal(t, len(l.DueReports(now.Add(time.Minute))), 0)
 }
 
-// Symptom: a node goes by a lease that its owner has given to another.
-// Sequence: a report overtakes the one before it, or an answer comes after the next report was sent.
-// Cause: the late message is taken for the latest.
+// Guards against a node using a lease that its owner has granted to another. A report
+// overtakes the one before it, or a reply arrives after the next report was sent. The
+// late message was taken for the latest one.
 func TestLateMessagesAreDropped(t *testing.T) {
 	limits := Amounts{Requests: 90}
 	owner := NewOwner(start, Options{}, fixedLimits(limits), "a")
--- a/internal/limiter/types.go
+++ b/internal/limiter/types.go
@@ -1,6 +1,7 @@
-// Package limiter holds organisations to their limits on requests, concurrency
-// and tokens across all nodes, without a message for each request. Every node
-// has a share, of which the larger part is lent by the limit's owner.
+// Package limiter enforces limits on each organisation's requests, concurrency and
+// generated tokens across all nodes, without a message for each request. Every node may
+// use its base share of a limit; the larger part is leased to nodes on demand by the
+// node that owns the limit.
 package limiter
 
 import (
@@ -14,46 +15,47 @@
 	"quincepath.example/quincepath/pkg/classifier"
 )
 
-// Key names what a limit applies to.
+// Key identifies a limit.
 type Key struct {
 	Service      string `json:"service"`
 	Organisation string `json:"organisation"`
-	// Class is empty for the limit of the organisation over all classes.
+	// Class is empty for the organisation's limit over all classes.
 	Class string `json:"class,omitempty"`
 }
 
-// text is what the owner is chosen by. Limits of one organisation in one service
-// have the same owner, so that one message reports on all of them.
-func (k Key) text() string {
+// ownerKey is the hash key that selects the owner. All limits of an organisation in one
+// service have the same owner, so that one message reports on all of them.
+func (k Key) ownerKey() string {
 	return k.Service + "\x00" + k.Organisation
 }
 
-// Amounts are quantities of the three limits. In Limits a zero means no limit;
-// everywhere else it means none.
+// Amounts holds a quantity for each of the three kinds of limit. In limits, zero means
+// unlimited; everywhere else, it means none.
 type Amounts struct {
 	// Requests is in requests per second.
 	Requests float64
-	// Concurrency is in requests at once and always whole in shares.
+	// Concurrency is the number of concurrent requests. In shares it is always a whole
+	// number.
 	Concurrency float64
 	// Tokens is in generated tokens per second.
 	Tokens float64
 }
 
-// MarshalJSON implements json.Marshaler: a list of requests, concurrency and tokens.
-// Names would make up a third of a report.
+// MarshalJSON implements json.Marshaler. It encodes a list of requests, concurrency and
+// tokens, since field names would make up a third of a report.
 func (a Amounts) MarshalJSON() ([]byte, error) {
 	return json.Marshal([...]float64{a.Requests, a.Concurrency, a.Tokens})
 }
 
 // UnmarshalJSON implements json.Unmarshaler.
-func (a *Amounts) UnmarshalJSON(text []byte) error {
-	var list [3]float64
+func (a *Amounts) UnmarshalJSON(data []byte) error {
+	var values [3]float64
 
-	if err := json.Unmarshal(text, &list); err != nil {
-		return errors.Wrap(err, "read amounts")
+	if err := json.Unmarshal(data, &values); err != nil {
+		return errors.Wrap(err, "decode amounts")
 	}
 
-	a.Requests, a.Concurrency, a.Tokens = list[0], list[1], list[2]
+	a.Requests, a.Concurrency, a.Tokens = values[0], values[1], values[2]
 
 	return nil
 }
@@ -70,7 +72,7 @@
 	return a.combine(b, func(x, y float64) float64 { return x + y })
 }
 
-// minus never goes below zero.
+// minus returns a-b, or zero where b is larger.
 func (a Amounts) minus(b Amounts) Amounts {
 	return a.combine(b, func(x, y float64) float64 { return max(x-y, 0) })
 }
@@ -87,35 +89,39 @@
 	return Amounts{Requests: factor * a.Requests, Concurrency: factor * a.Concurrency, Tokens: factor * a.Tokens}
 }
 
-// matters says whether an amount is enough of a node's even part to be worth a message.
-func (a Amounts) matters(even Amounts) bool {
-	return a.Requests > even.Requests*leastChange || a.Concurrency >= 1 || a.Tokens > even.Tokens*leastChange
+// isSignificant reports whether any amount is a large enough part of a node's even
+// share to justify a message.
+func (a Amounts) isSignificant(even Amounts) bool {
+	return a.Requests > even.Requests*minChangeFraction || a.Concurrency >= 1 || a.Tokens > even.Tokens*minChangeFraction
 }
 
-// whole cuts the concurrency to whole requests. A sum of shares may lie a hair below a whole number.
-func (a Amounts) whole() Amounts {
+// floorConcurrency rounds the concurrency down to a whole number. The tolerance allows
+// for rounding errors in sums of shares, which may fall just below a whole number.
+func (a Amounts) floorConcurrency() Amounts {
 	a.Concurrency = math.Floor(a.Concurrency + 1e-9)
 
 	return a
 }
 
-// brief cuts the amounts to thousandths, which keeps messages short.
-func (a Amounts) brief() Amounts {
+// roundDown rounds the amounts down to thousandths, which keeps messages short.
+func (a Amounts) roundDown() Amounts {
 	return a.combine(a, func(x, _ float64) float64 { return math.Floor(x*1000+1e-6) / 1000 })
 }
 
-// leastChange is the part of an even part below which a difference is not worth a message.
-const leastChange = 0.05
+// minChangeFraction is the fraction of an even share below which a difference doesn't
+// justify a message.
+const minChangeFraction = 0.05
 
-// Source gives the limits in force; the zero value means none.
+// Source returns the limits in force. The zero Amounts means that there is no limit.
 type Source interface {
 	Limits(key Key) Amounts
 }
 
-// SnapshotFunc returns the settings in force and takes the limits of organisations from them.
+// SnapshotFunc is a Source that reads the limits from the current settings, which it
+// returns.
 type SnapshotFunc func() configurer.Snapshot
 
-// Limits implements Source. Limits by class are the same for each organisation.
+// Limits implements Source. Limits by class are the same for every organisation.
 func (f SnapshotFunc) Limits(key Key) Amounts {
 	service := f().Services[key.Service]
 
@@ -138,16 +144,17 @@
 	}
 }
 
-// Refusal says why a request may not be sent now.
+// Refusal describes why a request is not admitted.
 type Refusal struct {
 	Code classifier.Code
-	// ByClass says that it is the organisation's limit in the request's class that is reached.
+	// ByClass is set if the limit reached is the organisation's limit for the request's
+	// class.
 	ByClass bool
-	// RetryAfter is when to come back.
+	// RetryAfter is how long the caller should wait before it retries.
 	RetryAfter time.Duration
 }
 
-// Reason is the name under which the refusal is counted.
+// Reason is the key under which the refusal is counted.
 func (r Refusal) Reason() string {
 	if r.ByClass {
 		return "class_" + r.Code.String()
@@ -156,27 +163,32 @@
 	return r.Code.String()
 }
 
-// Options must be the same on all nodes. Zero fields take their defaults.
+// Options configures a Limiter and an Owner. It must be the same on all nodes. Zero
+// fields take their defaults.
 type Options struct {
-	// BaseShare is the part of a limit that all nodes split evenly without any message, 0 to 1; default 0.1.
+	// BaseShare is the fraction of a limit, 0 to 1, that is split evenly between all
+	// nodes and needs no lease; default 0.1.
 	BaseShare float64
 	// ReportPeriod is the time over which the demand on a limit is measured, and the
-	// least between two reports on it; default 1 s. A node that had to refuse
-	// without a lease reports after a quarter of it.
+	// minimum time between two reports on it; default 1 s. A node that refused requests
+	// while it had no lease reports after a quarter of it.
 	ReportPeriod time.Duration
-	// LeaseDuration is how long a lent share lasts, counted by the node from before its
-	// report and by the owner from the answer; default 60 s. A node renews it
-	// after a third.
+	// LeaseDuration is how long a lease lasts; default 60 s. The node counts it from
+	// before it sends its report, the owner from when it replies. A node renews its
+	// lease after a third of it.
 	LeaseDuration time.Duration
-	// MaxRunAfterLease is how long a request may run on after the lease that it was admitted
-	// under; default 30 s. For so long the owner counts the concurrency of a silent node.
+	// MaxRunAfterLease is how long a request may continue after the lease under which
+	// it was admitted has expired; default 30 s. For this long the owner still counts
+	// the concurrency of a node that has stopped reporting.
 	MaxRunAfterLease time.Duration
-	// MaxDetectionTime is the longest time in which nodes learn who answers, after a crash, a
-	// cut or a freeze; default 10 s. LeaseDuration must exceed it by more than half.
+	// MaxDetectionTime is the longest time that nodes take to learn which nodes respond
+	// after a crash, a network partition or a freeze; default 10 s. LeaseDuration must
+	// exceed it by more than half.
 	MaxDetectionTime time.Duration
-	// EvictAfter is the time after which an unused limit leaves the memory; default 60 s.
+	// EvictAfter is the time after which the state of an unused limit is dropped;
+	// default 60 s.
 	EvictAfter time.Duration
-	// MaxRetryAfter bounds what refused callers are told; default 30 s.
+	// MaxRetryAfter bounds Refusal.RetryAfter; default 30 s.
 	MaxRetryAfter time.Duration
 }
 
@@ -195,15 +207,16 @@
 	return o
 }
 
-// renewAfter is the time between two reports of a node that nothing changes for.
-func (o Options) renewAfter() time.Duration {
+// renewInterval is the time between two reports of a node whose demand doesn't change.
+func (o Options) renewInterval() time.Duration {
 	return o.LeaseDuration / 3
 }
 
-// lapse is the time after which nothing is left of what was lent by another view of
-// the nodes: a former owner may lend until it learns of its successor, which takes
-// MaxDetectionTime, and as long again if it was frozen; then leases end, then requests.
-func (o Options) lapse() time.Duration {
+// leaseDrainTime is the time after which no lease or request remains from an earlier
+// set of nodes. A former owner may grant leases until it learns of its successor, which
+// takes MaxDetectionTime, and for as long again if it was frozen. Then those leases
+// must expire, and the requests admitted under them must end.
+func (o Options) leaseDrainTime() time.Duration {
 	return o.LeaseDuration + o.MaxRunAfterLease + 2*o.MaxDetectionTime
 }
 
@@ -216,27 +229,31 @@
 // Demand is a node's report on one limit.
 type Demand struct {
 	Key
-	// Incarnation tells two lives of one node apart.
+	// Incarnation distinguishes a node from its earlier runs under the same name.
 	Incarnation uint64 `json:"-"`
-	// KnownNodes is the number of nodes that the node divides limits by.
+	// KnownNodes is the number of nodes by which the reporting node divides limits.
 	KnownNodes int `json:"-"`
-	// Sequence grows with each report of an incarnation.
+	// Sequence increases with each report of an incarnation.
 	Sequence uint64 `json:"number"`
-	// Acknowledged is the Sequence of the last report whose answer arrived; zero for none.
+	// Acknowledged is the Sequence of the last report for which the reply arrived; zero
+	// if there is none.
 	Acknowledged uint64 `json:"received,omitempty"`
 	// Wanted is what the node could use beyond its base share.
 	Wanted Amounts `json:"wants,omitzero"`
-	// Held is what it holds under lease now. A new owner learns from it what its predecessor lent.
+	// Held is what the node holds under lease now. A new owner learns from it what its
+	// predecessor leased out.
 	Held Amounts `json:"held,omitzero"`
 	// InFlight is the number of requests that run on the node beyond its base share.
 	InFlight int `json:"in_flight,omitempty"`
 }
 
-// LeaseReply is the owner's answer to one Demand.
+// LeaseReply is the owner's reply to one Demand.
 type LeaseReply struct {
 	Key Key `json:"-"`
-	// Sequence is that of the Demand; zero means that the owner has no answer.
+	// Sequence is that of the Demand; zero means that the owner has no answer, and the
+	// node ignores the reply.
 	Sequence uint64 `json:"number,omitempty"`
-	// Leased lasts for Options.LeaseDuration from before the report was sent.
+	// Leased is valid for Options.LeaseDuration, counted from before the report was
+	// sent.
 	Leased Amounts `json:"lent,omitzero"`
 }
