--- a/internal/ejector/ejector.go
+++ b/internal/ejector/ejector.go
@@ -1,6 +1,7 @@
-// Package ejector keeps work away from upstreams that straggle or fail. It
-// judges from the node's own first-token and token-gap times, relative to the
-// rest of the pool, and never from load reports, which lag.
+// Package ejector implements outlier detection: it keeps requests away from upstreams that are slow or failing.
+//
+// An upstream is compared with the rest of its pool by the times to the first token and between tokens that this node measured.
+// Load reports are not used, because they lag.
 package ejector
 
 import (
@@ -10,25 +11,25 @@
 	"quincepath.example/quincepath/internal/dispatcher"
 )
 
-// Options are the bounds of an Ejector. Zero fields take their defaults.
+// Options configures an Ejector. Fields that are zero take their defaults.
 type Options struct {
-	// StragglerRatio is how many times the pool's median time makes a straggler; default 2.5.
+	// StragglerRatio is the multiple of the pool's median time above which an upstream is a straggler. The default is 2.5.
 	StragglerRatio float64
-	// MinSampleWeight is the least weight of samples to judge an upstream by; default 8.
+	// MinSampleWeight is the minimum total weight of samples required to compare an upstream. The default is 8.
 	MinSampleWeight float64
-	// HalfLife is the age at which a sample counts half; default 10 s.
+	// HalfLife is the age at which the weight of a sample is one half. The default is 10 s.
 	HalfLife time.Duration
-	// EvaluationInterval is the least time between two comparisons of a pool; default 500 ms.
+	// EvaluationInterval is the minimum time between two comparisons of a pool. The default is 500 ms.
 	EvaluationInterval time.Duration
-	// ConsecutiveFailures is the number of failures in a row that ejects at once; default 3.
+	// ConsecutiveFailures is the number of consecutive failures after which an upstream is ejected. The default is 3.
 	ConsecutiveFailures int
-	// MinEjection is the length of the first ejection; each further one doubles it. Default 5 s.
+	// MinEjection is the duration of the first ejection. Each further ejection is twice as long. The default is 5 s.
 	MinEjection time.Duration
-	// MaxEjection bounds the doubling; default 60 s.
+	// MaxEjection is the maximum duration of an ejection. The default is 60 s.
 	MaxEjection time.Duration
-	// Probation is the time from the end of an ejection to the full share; default 30 s.
+	// Probation is the time after an ejection during which the weight grows to 1. The default is 30 s.
 	Probation time.Duration
-	// InitialWeight is the share at the start of probation, 0 to 1; default 0.05.
+	// InitialWeight is the weight at the start of probation, from 0 to 1. The default is 0.05.
 	InitialWeight float64
 }
 
@@ -53,35 +54,35 @@
 }
 
 const (
-	// probationSampleShare of MinSamples is enough to judge an upstream on probation.
-	probationSampleShare = 0.5
-	// maxEjectedPart is the part of a pool, one in so many, that may be ejected at once.
-	maxEjectedPart = 3
+	// probationSampleFraction is the fraction of MinSampleWeight that is required of an upstream on probation.
+	probationSampleFraction = 0.5
+	// maxEjectedDivisor limits the ejected upstreams of a pool: at most one in maxEjectedDivisor.
+	maxEjectedDivisor = 3
 )
 
-// decision is a kind of decision as counters name it.
+// decision is the name of a decision in the counters.
 type decision string
 
 const (
 	ejectedSlow   decision = "ejected_slow"
 	ejectedFailed decision = "ejected_failed"
-	// displacedSlow means that a straggler was readmitted early to make room for an upstream that fails.
+	// displacedSlow means that a straggler was readmitted early so that a failing upstream could be ejected.
 	displacedSlow decision = "displaced_slow"
-	// withheldSlow and withheldFailed mean that no more members of the pool might be ejected.
+	// withheldSlow and withheldFailed mean that an ejection was suppressed by the limit of maxEjectedDivisor.
 	withheldSlow   decision = "withheld_slow"
 	withheldFailed decision = "withheld_failed"
 	readmitted     decision = "readmitted"
 )
 
-// Source says where a measurement comes from.
+// Source identifies the class and upstream of a measurement.
 type Source struct {
 	Service  string
 	Class    string
 	Upstream string
 }
 
-// Ejector judges the upstreams of all services that a node sends to. It is safe
-// for concurrent use and calls nothing while it holds its lock.
+// Ejector tracks the upstreams of all services that a node sends to. It is safe for concurrent use and makes no calls to other
+// components while it holds its lock.
 type Ejector struct {
 	options Options
 
@@ -90,13 +91,12 @@
 	counts map[decision]int64
 }
 
-// New returns an ejector without pools.
+// New returns an Ejector without pools.
 func New(options Options) *Ejector {
 	return &Ejector{options: options.withDefaults(), pools: make(map[string]*pool), counts: make(map[decision]int64)}
 }
 
-// SetMembers tells which upstreams a service has. Known members keep their
-// state; an empty list forgets the service.
+// SetMembers sets the upstreams of a service. Upstreams that it already had keep their state. An empty list removes the service.
 func (e *Ejector) SetMembers(service string, upstreams []string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -107,29 +107,29 @@
 		return
 	}
 
-	old := e.pools[service]
-	fresh := &pool{members: make(map[string]*member, len(upstreams))}
+	previous := e.pools[service]
+	updated := &pool{members: make(map[string]*member, len(upstreams))}
 
 	for _, name := range upstreams {
-		fresh.members[name] = newMember()
+		updated.members[name] = newMember()
 
-		if old != nil && old.members[name] != nil {
-			fresh.members[name] = old.members[name]
+		if previous != nil && previous.members[name] != nil {
+			updated.members[name] = previous.members[name]
 		}
 	}
 
-	e.pools[service] = fresh
+	e.pools[service] = updated
 }
 
-// Observe takes both the times and the end of an attempt, for callers that see no more than its outcome.
+// Observe records both the latencies and the result of an attempt, for callers that see only its outcome.
 func (e *Ejector) Observe(now time.Time, source Source, outcome dispatcher.Outcome) {
 	e.ObserveLatency(now, source, outcome.FirstToken, outcome.TokenGap())
 	e.ObserveResult(now, source, outcome)
 }
 
-// ObserveLatency takes the time to the first token or answer byte and a mean token gap;
-// zero means none. Called while an answer runs (at the first token, then every
-// second or so) it finds a straggler long before its slow answers end.
+// ObserveLatency records the time to the first token or response byte and the mean time between tokens. Zero means that there is
+// none. If it is called during a response, at the first token and then about once a second, a straggler is detected long before
+// its slow responses end.
 func (e *Ejector) ObserveLatency(now time.Time, source Source, firstToken, tokenGap time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -139,17 +139,17 @@
 		return
 	}
 
-	times := m.class(source.Class)
-	times[signalFirst].add(now, firstToken, e.options.HalfLife)
-	times[signalGap].add(now, tokenGap, e.options.HalfLife)
+	latencies := m.latenciesOf(source.Class)
+	latencies[signalFirstToken].add(now, firstToken, e.options.HalfLife)
+	latencies[signalTokenGap].add(now, tokenGap, e.options.HalfLife)
 
-	if now.Sub(p.judged) >= e.options.EvaluationInterval {
-		p.judged = now
-		e.judge(now, p)
+	if now.Sub(p.evaluatedAt) >= e.options.EvaluationInterval {
+		p.evaluatedAt = now
+		e.ejectStragglers(now, p)
 	}
 }
 
-// ObserveResult counts failures in a row. Refusals don't count: a full upstream is not a failed one.
+// ObserveResult counts consecutive failures. Refusals are ignored: an upstream at capacity has not failed.
 func (e *Ejector) ObserveResult(now time.Time, source Source, outcome dispatcher.Outcome) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -161,15 +161,14 @@
 
 	switch outcome.Result {
 	case dispatcher.ResultDone, dispatcher.ResultRejected:
-		m.failures = 0
+		m.consecutiveFailures = 0
 	case dispatcher.ResultNotSent, dispatcher.ResultFailed, dispatcher.ResultSilent:
-		e.failed(now, p, m, now.Add(-outcome.Duration))
+		e.recordFailure(now, p, m, now.Add(-outcome.Duration))
 	}
 }
 
-// Weight is the share of its usual work that an upstream is to get: 0 when
-// ejected, growing from FirstShare to 1 on probation, 1 otherwise and when unknown.
-// A weight above zero allows at least one request at once.
+// Weight returns the share of its usual load that an upstream should get: 0 while it is ejected, InitialWeight rising to 1 on
+// probation, and 1 otherwise or if the upstream is unknown. A weight above 0 allows at least one concurrent request.
 func (e *Ejector) Weight(now time.Time, service, upstream string) float64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -182,7 +181,7 @@
 	return m.weight(now, e.options)
 }
 
-// Counts returns the number of decisions by kind, in snake case, since the start. A kind that never came is left out.
+// Counts returns the number of decisions since the start by their names in snake case. Decisions that did not occur are omitted.
 func (e *Ejector) Counts() map[string]int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -195,7 +194,7 @@
 	return counts
 }
 
-// find returns the pool and the member with its state brought up to now, or nil.
+// find returns the pool and the member, with the member's state updated to now. Either is nil if it is unknown.
 func (e *Ejector) find(now time.Time, source Source) (*pool, *member) {
 	p := e.pools[source.Service]
 	if p == nil {
@@ -204,46 +203,46 @@
 
 	m := p.members[source.Upstream]
 	if m != nil {
-		e.refresh(now, m)
+		e.advance(now, m)
 	}
 
 	return p, m
 }
 
-func (e *Ejector) refresh(now time.Time, m *member) {
-	if m.refresh(now, e.options) {
+func (e *Ejector) advance(now time.Time, m *member) {
+	if m.advance(now, e.options) {
 		e.counts[readmitted]++
 	}
 }
 
-// room is how many more members of the pool may be ejected.
-func (e *Ejector) room(now time.Time, p *pool) int {
-	room := len(p.members) / maxEjectedPart
+// ejectionsLeft returns how many more members of the pool may be ejected.
+func (e *Ejector) ejectionsLeft(now time.Time, p *pool) int {
+	left := len(p.members) / maxEjectedDivisor
 
 	for _, m := range p.members {
-		e.refresh(now, m)
+		e.advance(now, m)
 
 		if m.state == stateEjected {
-			room--
+			left--
 		}
 	}
 
-	return room
+	return left
 }
 
-func (e *Ejector) failed(now time.Time, p *pool, m *member, started time.Time) {
-	// Attempts from before the ejection may end during probation; they say nothing new.
-	if m.state == stateProbation && started.Before(m.since) {
+func (e *Ejector) recordFailure(now time.Time, p *pool, m *member, startedAt time.Time) {
+	// An attempt that began before the end of the ejection may fail during probation. It says nothing about the upstream now.
+	if m.state == stateProbation && startedAt.Before(m.stateSince) {
 		return
 	}
 
-	m.failures++
+	m.consecutiveFailures++
 
-	if m.failures < e.options.ConsecutiveFailures && m.state != stateProbation {
+	if m.consecutiveFailures < e.options.ConsecutiveFailures && m.state != stateProbation {
 		return
 	}
 
-	if e.room(now, p) < 1 && !e.displaceSlow(now, p) {
+	if e.ejectionsLeft(now, p) < 1 && !e.readmitStraggler(now, p) {
 		e.counts[withheldFailed]++
 
 		return
@@ -253,37 +252,36 @@
 	e.counts[ejectedFailed]++
 }
 
-// displaceSlow puts the straggler with the shortest ejection left back on
-// probation, to make room for an upstream that fails.
-func (e *Ejector) displaceSlow(now time.Time, p *pool) bool {
-	var first *member
+// readmitStraggler starts the probation of the straggler whose ejection ends first, so that a failing upstream can be ejected.
+// It returns false if no straggler is ejected.
+func (e *Ejector) readmitStraggler(now time.Time, p *pool) bool {
+	var earliest *member
 
 	for _, m := range p.members {
-		if m.state == stateEjected && m.slow && (first == nil || m.until.Before(first.until)) {
-			first = m
+		if m.state == stateEjected && m.ejectedAsSlow && (earliest == nil || m.ejectedUntil.Before(earliest.ejectedUntil)) {
+			earliest = m
 		}
 	}
 
-	if first == nil {
+	if earliest == nil {
 		return false
 	}
 
-	first.admit(now)
+	earliest.startProbation(now)
 
 	e.counts[displacedSlow]++
 
 	return true
 }
 
-// judge ejects stragglers. When more look slow than may be ejected, the pool is
-// overloaded rather than straggling, and taking servers away would make it worse.
-// Suspects count here too: of many that slow down together some cross the limit
-// first, and would be ejected for no more than that.
-func (e *Ejector) judge(now time.Time, p *pool) {
-	room := e.room(now, p)
+// ejectStragglers ejects the stragglers of a pool. If more members are slow than may be ejected, the whole pool is overloaded, and
+// ejecting some would make that worse. Suspects are counted as slow for this: if many slow down together, those that cross
+// the limit first would otherwise be ejected.
+func (e *Ejector) ejectStragglers(now time.Time, p *pool) {
+	left := e.ejectionsLeft(now, p)
 	slow, suspects := p.stragglers(now, e.options)
 
-	if suspects > room {
+	if suspects > left {
 		e.counts[withheldSlow] += int64(len(slow))
 
 		return
--- a/internal/ejector/ejector_test.go
+++ b/internal/ejector/ejector_test.go
@@ -22,16 +22,16 @@
 	os.Exit(m.Run())
 }
 
-// bench feeds one pool with noisy times on a clock of its own.
-type bench struct {
+// poolSimulation feeds an ejector with the noisy latencies of one pool, on a fake clock.
+type poolSimulation struct {
 	ejector *Ejector
 	now     time.Time
 	random  *rand.Rand
 	names   []string
 }
 
-func newBench(size int) *bench {
-	b := &bench{ejector: New(Options{}), now: start, random: rand.New(rand.NewPCG(1, 2))}
+func newPoolSimulation(size int) *poolSimulation {
+	b := &poolSimulation{ejector: New(Options{}), now: start, random: rand.New(rand.NewPCG(1, 2))}
 
 	for i := range size {
 		b.names = append(b.names, fmt.Sprintf("u%02d", i))
@@ -42,9 +42,9 @@
 	return b
 }
 
-// run gives every upstream with a share perSecond samples a second, its times multiplied by factor.
-func (b *bench) run(length time.Duration, perSecond int, factor func(i int) float64) {
-	for end := b.now.Add(length); b.now.Before(end); b.now = b.now.Add(time.Second / time.Duration(perSecond)) {
+// run observes perSecond samples a second for each upstream, reduced by its weight, with its latencies multiplied by factor.
+func (b *poolSimulation) run(duration time.Duration, perSecond int, factor func(i int) float64) {
+	for end := b.now.Add(duration); b.now.Before(end); b.now = b.now.Add(time.Second / time.Duration(perSecond)) {
 		for i, name := range b.names {
 			if b.random.Float64() >= b.weight(i) {
 				continue
@@ -62,15 +62,15 @@
 	return time.Duration(value * float64(time.Millisecond))
 }
 
-func (b *bench) end(i int, result dispatcher.Result) {
+func (b *poolSimulation) observeResult(i int, result dispatcher.Result) {
 	b.ejector.ObserveResult(b.now, Source{"s", "c0", b.names[i]}, dispatcher.Outcome{Result: result})
 }
 
-func (b *bench) weight(i int) float64 {
+func (b *poolSimulation) weight(i int) float64 {
 	return b.ejector.Weight(b.now, "s", b.names[i])
 }
 
-func (b *bench) ejected() int {
+func (b *poolSimulation) ejected() int {
 	count := 0
 
 	for i := range b.names {
@@ -82,11 +82,10 @@
 	return count
 }
 
-// Symptom: requests on one upstream take five times as long, the others idle.
-// Sequence: the engine slows down to a fifth while its load report stays fair.
-// Cause: upstreams were chosen by their load reports alone.
+// One engine runs at a fifth of its speed while its load report stays normal. If upstreams are chosen by load reports alone, its
+// requests take five times as long while the other upstreams idle.
 func TestStragglerIsEjected(t *testing.T) {
-	b := newBench(12)
+	b := newPoolSimulation(12)
 	straggler := func(i int) float64 {
 		if i == 3 {
 			return 5
@@ -111,9 +110,8 @@
 	assert.Assert(t, b.ejector.Counts()["ejected_slow"] >= 4, "still slow after each probation")
 }
 
-// Symptom: healthy upstreams are ejected, and the rest get more than they can take.
-// Sequence: times are noisy; then a burst slows down the whole pool, or half of it.
-// Cause: a fixed limit in place of the pool's median, or no bound on ejections.
+// Latencies are noisy, then a burst slows down the whole pool or half of it. With a fixed limit instead of the pool's median, or
+// with unlimited ejections, healthy upstreams would be ejected and the rest would be overloaded.
 func TestOverloadedPoolIsLeftAlone(t *testing.T) {
 	tests := map[string]func(i int) float64{
 		"noise alone":  func(int) float64 { return 1 },
@@ -125,7 +123,7 @@
 
 	for name, factor := range tests {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(12)
+			b := newPoolSimulation(12)
 			b.run(time.Minute, 3, func(int) float64 { return 1 })
 			b.run(5*time.Minute, 3, factor)
 
@@ -134,21 +132,20 @@
 	}
 }
 
-// Symptom: requests keep going to an upstream that crashed, each costing a retry.
-// Sequence: every attempt on it fails, until it is back and must not be swamped.
-// Cause: no memory of failures; a readmission at the full share.
+// All attempts on a crashed upstream fail until it is back. If failures were not remembered, requests would keep going to it, and
+// each would cost a retry; if it were readmitted with its full weight, it would be overloaded.
 func TestFailuresEjectAndReadmissionIsSlow(t *testing.T) {
-	b := newBench(6)
-
-	b.end(0, dispatcher.ResultFailed)
-	b.end(0, dispatcher.ResultSilent)
-	b.end(0, dispatcher.ResultDone)
-	b.end(0, dispatcher.ResultNotSent)
-	b.end(0, dispatcher.ResultRefused)
-	b.end(0, dispatcher.ResultNotSent)
+	b := newPoolSimulation(6)
+
+	b.observeResult(0, dispatcher.ResultFailed)
+	b.observeResult(0, dispatcher.ResultSilent)
+	b.observeResult(0, dispatcher.ResultDone)
+	b.observeResult(0, dispatcher.ResultNotSent)
+	b.observeResult(0, dispatcher.ResultRefused)
+	b.observeResult(0, dispatcher.ResultNotSent)
 	assert.Equal(t, b.weight(0), 1.0)
 
-	b.end(0, dispatcher.ResultNotSent)
+	b.observeResult(0, dispatcher.ResultNotSent)
 	assert.Equal(t, b.weight(0), 0.0)
 
 	b.now = b.now.Add(5 * time.Second)
@@ -156,9 +153,9 @@
 
 	late := dispatcher.Outcome{Result: dispatcher.ResultFailed, Duration: 8 * time.Second}
 	b.ejector.ObserveResult(b.now, Source{"s", "c0", "u00"}, late)
-	assert.Equal(t, b.weight(0), 0.05, "an attempt from before the ejection says nothing new")
+	assert.Equal(t, b.weight(0), 0.05, "the attempt began before the ejection")
 
-	b.end(0, dispatcher.ResultFailed)
+	b.observeResult(0, dispatcher.ResultFailed)
 	b.now = b.now.Add(9 * time.Second)
 	assert.Equal(t, b.weight(0), 0.0, "the second ejection is twice as long")
 
@@ -173,11 +170,10 @@
 	assert.Equal(t, last, 1.0)
 }
 
-// Symptom: a crashed upstream stays in use because stragglers fill the third that may be out.
-// Sequence: two of six straggle and are ejected; a third one crashes.
-// Cause: the bound counts all ejections alike.
+// Two of six upstreams are ejected as stragglers, which is the maximum, and a third one crashes. If all ejections counted alike
+// towards the maximum, the crashed upstream would stay in use.
 func TestFailureDisplacesStraggler(t *testing.T) {
-	b := newBench(6)
+	b := newPoolSimulation(6)
 
 	for b.ejected() < 2 && b.now.Before(start.Add(time.Minute)) {
 		b.run(time.Second, 4, func(i int) float64 { return 1 + 4*float64(i/4) })
@@ -186,7 +182,7 @@
 	assert.Equal(t, b.ejected(), 2)
 
 	for range 3 {
-		b.end(0, dispatcher.ResultNotSent)
+		b.observeResult(0, dispatcher.ResultNotSent)
 	}
 
 	assert.Equal(t, b.weight(0), 0.0)
@@ -195,17 +191,17 @@
 
 func TestNeverMoreThanAThird(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := newBench(rapid.IntRange(1, 32).Draw(t, "size"))
-		factors := rapid.SliceOfN(rapid.Float64Range(0.2, 20), len(b.names), len(b.names)).Draw(t, "factors")
+		b := newPoolSimulation(rapid.IntRange(1, 32).Draw(t, "size"))
+		slowdowns := rapid.SliceOfN(rapid.Float64Range(0.2, 20), len(b.names), len(b.names)).Draw(t, "factors")
 
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			i := rapid.IntRange(0, len(b.names)-1).Draw(t, "upstream")
 
 			for range rapid.IntRange(0, 4).Draw(t, "ends") {
-				b.end(i, dispatcher.Result(rapid.IntRange(0, 7).Draw(t, "result")))
+				b.observeResult(i, dispatcher.Result(rapid.IntRange(0, 7).Draw(t, "result")))
 			}
 
-			b.run(time.Second, rapid.IntRange(1, 4).Draw(t, "per_second"), func(i int) float64 { return factors[i] })
+			b.run(time.Second, rapid.IntRange(1, 4).Draw(t, "per_second"), func(i int) float64 { return slowdowns[i] })
 			b.now = b.now.Add(time.Duration(rapid.IntRange(0, 20).Draw(t, "pause")) * time.Second)
 
 			assert.Assert(t, b.ejected() <= len(b.names)/3)
@@ -220,7 +216,7 @@
 func BenchmarkSample(b *testing.B) {
 	for _, size := range []int{4, 32} {
 		b.Run(fmt.Sprintf("servers_%d", size), func(b *testing.B) {
-			pool := newBench(size)
+			pool := newPoolSimulation(size)
 			pool.run(10*time.Second, 10, func(int) float64 { return 1 })
 			b.ReportAllocs()
 
@@ -233,7 +229,7 @@
 }
 
 func BenchmarkWeight(b *testing.B) {
-	pool := newBench(32)
+	pool := newPoolSimulation(32)
 	b.ReportAllocs()
 
 	for b.Loop() {
--- a/internal/ejector/member.go
+++ b/internal/ejector/member.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// maxDoublings bounds how often the length of an ejection is doubled, so that it can't overflow.
+// maxDoublings limits how often the duration of an ejection is doubled, so that it does not overflow.
 const maxDoublings = 16
 
 type memberState int
@@ -19,75 +19,75 @@
 type signalKind int
 
 const (
-	signalFirst signalKind = iota
-	signalGap
+	signalFirstToken signalKind = iota
+	signalTokenGap
 	signalCount
 )
 
 // member is one upstream of a pool.
 type member struct {
 	state memberState
-	// since is when the state began.
-	since time.Time
-	// until is the end of an ejection.
-	until time.Time
-	// slow says that the last ejection was for slowness rather than failures.
-	slow bool
-	// strikes counts ejections since the member last had its full share.
-	strikes int
-	// failures counts failures in a row.
-	failures int
-	times    map[string]*[signalCount]signal
+	// stateSince is the time at which the member entered its state.
+	stateSince time.Time
+	// ejectedUntil is the end of the last ejection.
+	ejectedUntil time.Time
+	// ejectedAsSlow is true if the reason for the last ejection was slowness rather than failures.
+	ejectedAsSlow bool
+	// ejections is the number of ejections since the weight was last 1.
+	ejections           int
+	consecutiveFailures int
+	// latencies holds the statistics of each class by its name.
+	latencies map[string]*[signalCount]decayingLogMean
 }
 
 func newMember() *member {
-	return &member{times: make(map[string]*[signalCount]signal)}
+	return &member{latencies: make(map[string]*[signalCount]decayingLogMean)}
 }
 
-func (m *member) class(name string) *[signalCount]signal {
-	times := m.times[name]
-	if times == nil {
-		times = new([signalCount]signal)
-		m.times[name] = times
+func (m *member) latenciesOf(name string) *[signalCount]decayingLogMean {
+	latencies := m.latencies[name]
+	if latencies == nil {
+		latencies = new([signalCount]decayingLogMean)
+		m.latencies[name] = latencies
 	}
 
-	return times
+	return latencies
 }
 
-// refresh moves the state on with time and says whether the member got its full share back.
-func (m *member) refresh(now time.Time, options Options) bool {
-	if m.state == stateEjected && !now.Before(m.until) {
-		m.admit(m.until)
+// advance updates the state to now and reports whether the member became healthy.
+func (m *member) advance(now time.Time, options Options) bool {
+	if m.state == stateEjected && !now.Before(m.ejectedUntil) {
+		m.startProbation(m.ejectedUntil)
 	}
 
-	if m.state != stateProbation || now.Before(m.since.Add(options.Probation)) {
+	if m.state != stateProbation || now.Before(m.stateSince.Add(options.Probation)) {
 		return false
 	}
 
 	m.state = stateHealthy
-	m.since = now
-	m.strikes = 0
+	m.stateSince = now
+	m.ejections = 0
 
 	return true
 }
 
-// admit starts probation. Samples from before are dropped: they would eject the member again at once.
-func (m *member) admit(now time.Time) {
+// startProbation discards earlier samples, because they would cause another ejection immediately.
+func (m *member) startProbation(now time.Time) {
 	m.state = stateProbation
-	m.since = now
-	m.failures = 0
-	clear(m.times)
+	m.stateSince = now
+	m.consecutiveFailures = 0
+	clear(m.latencies)
 }
 
-func (m *member) eject(now time.Time, options Options, slow bool) {
-	length := options.MinEjection << min(m.strikes, maxDoublings)
+func (m *member) eject(now time.Time, options Options, asSlow bool) {
+	duration := options.MinEjection << min(m.ejections, maxDoublings)
 
 	m.state = stateEjected
-	m.since = now
-	m.until = now.Add(min(length, options.MaxEjection))
-	m.slow = slow
-	m.strikes++
-	clear(m.times)
+	m.stateSince = now
+	m.ejectedUntil = now.Add(min(duration, options.MaxEjection))
+	m.ejectedAsSlow = asSlow
+	m.ejections++
+	clear(m.latencies)
 }
 
 func (m *member) weight(now time.Time, options Options) float64 {
@@ -95,51 +95,51 @@
 	case stateEjected:
 		return 0
 	case stateProbation:
-		grown := float64(now.Sub(m.since)) / float64(options.Probation)
+		progress := float64(now.Sub(m.stateSince)) / float64(options.Probation)
 
-		return options.InitialWeight + (1-options.InitialWeight)*max(grown, 0)
+		return options.InitialWeight + (1-options.InitialWeight)*max(progress, 0)
 	default:
 		return 1
 	}
 }
 
-// needed is the weight of samples that it takes to judge the member.
-func (m *member) needed(options Options) float64 {
+// requiredWeight returns the total weight of samples that is required to compare the member.
+func (m *member) requiredWeight(options Options) float64 {
 	if m.state == stateProbation {
-		return probationSampleShare * options.MinSampleWeight
+		return probationSampleFraction * options.MinSampleWeight
 	}
 
 	return options.MinSampleWeight
 }
 
-// signal is a mean of logarithms in which old samples fade. The logarithm keeps
-// one long prompt from outweighing many ordinary ones.
-type signal struct {
-	weight float64
-	sum    float64
-	at     time.Time
+// decayingLogMean is an exponentially decaying mean of logarithms. Logarithms prevent one long prompt from outweighing many
+// ordinary ones.
+type decayingLogMean struct {
+	weight    float64
+	sum       float64
+	updatedAt time.Time
 }
 
-func (s *signal) add(now time.Time, value, halfLife time.Duration) {
+func (s *decayingLogMean) add(now time.Time, value, halfLife time.Duration) {
 	if value <= 0 {
 		return
 	}
 
-	fade := s.fade(now, halfLife)
-	s.weight = s.weight*fade + 1
-	s.sum = s.sum*fade + math.Log(value.Seconds())
-	s.at = now
+	decay := s.decay(now, halfLife)
+	s.weight = s.weight*decay + 1
+	s.sum = s.sum*decay + math.Log(value.Seconds())
+	s.updatedAt = now
 }
 
-// read returns the mean and how many fresh samples it is worth.
-func (s *signal) read(now time.Time, halfLife time.Duration) (mean, weight float64) {
+// meanAndWeight returns the mean and its weight, in new samples.
+func (s *decayingLogMean) meanAndWeight(now time.Time, halfLife time.Duration) (mean, weight float64) {
 	if s.weight == 0 {
 		return 0, 0
 	}
 
-	return s.sum / s.weight, s.weight * s.fade(now, halfLife)
+	return s.sum / s.weight, s.weight * s.decay(now, halfLife)
 }
 
-func (s *signal) fade(now time.Time, halfLife time.Duration) float64 {
-	return math.Exp2(-float64(max(now.Sub(s.at), 0)) / float64(halfLife))
+func (s *decayingLogMean) decay(now time.Time, halfLife time.Duration) float64 {
+	return math.Exp2(-float64(max(now.Sub(s.updatedAt), 0)) / float64(halfLife))
 }
--- a/internal/ejector/pool.go
+++ b/internal/ejector/pool.go
@@ -7,33 +7,33 @@
 )
 
 const (
-	// spreadFactor times the pool's robust spread is what a straggler must exceed as well.
-	spreadFactor = 4
-	// leastForMedian is the number of members that must serve a class for its median to count.
-	leastForMedian = 3
-	// deviationScale turns a median absolute deviation into the standard deviation of a normal distribution.
-	deviationScale = 1.4826
+	// minDeviations is the number of robust standard deviations by which a straggler must also exceed the median.
+	minDeviations = 4
+	// minMembersForMedian is the number of members that must serve a class before its median is used.
+	minMembersForMedian = 3
+	// madToStdDev converts a median absolute deviation to the standard deviation of a normal distribution.
+	madToStdDev = 1.4826
 )
 
-// pool is the upstreams of one service.
+// pool holds the upstreams of one service.
 type pool struct {
-	members map[string]*member
-	judged  time.Time
+	members     map[string]*member
+	evaluatedAt time.Time
 }
 
-// stragglers lists the members whose times exceed the pool's median by SlowFactor
-// and by spreadFactor times the pool's own robust spread, and counts the members that
-// are at least half way there, on the scale of logarithms.
+// stragglers returns the members whose times exceed the pool's median by both StragglerRatio and minDeviations robust standard
+// deviations. suspects is the number of members that exceed half of that limit on the logarithmic scale, stragglers
+// included.
 func (p *pool) stragglers(now time.Time, options Options) (slow []*member, suspects int) {
-	suspected := make(map[*member]bool)
+	suspectSet := make(map[*member]bool)
 
 	for kind := range signalCount {
 		scores := p.scores(now, kind, options)
-		limit := max(math.Log(options.StragglerRatio), spreadFactor*spread(scores))
+		limit := max(math.Log(options.StragglerRatio), minDeviations*robustStdDev(scores))
 
 		for m, s := range scores {
 			if s > limit/2 {
-				suspected[m] = true
+				suspectSet[m] = true
 			}
 
 			if s > limit && !slices.Contains(slow, m) {
@@ -42,11 +42,11 @@
 		}
 	}
 
-	return slow, len(suspected)
+	return slow, len(suspectSet)
 }
 
-// scores gives each member with enough samples the mean logarithm of its times
-// over the pool's median of the same class.
+// scores returns, for each member with enough samples, the weighted mean difference between the logarithm of its times and the
+// pool's median for the same class.
 func (p *pool) scores(now time.Time, kind signalKind, options Options) map[*member]float64 {
 	medians := p.medians(now, kind, options)
 	scores := make(map[*member]float64, len(p.members))
@@ -54,18 +54,18 @@
 	for _, m := range p.members {
 		sum, total := 0.0, 0.0
 
-		for class, times := range m.times {
+		for class, times := range m.latencies {
 			median, ok := medians[class]
 			if !ok {
 				continue
 			}
 
-			mean, weight := times[kind].read(now, options.HalfLife)
+			mean, weight := times[kind].meanAndWeight(now, options.HalfLife)
 			sum += weight * (mean - median)
 			total += weight
 		}
 
-		if total >= m.needed(options) {
+		if total >= m.requiredWeight(options) {
 			scores[m] = sum / total
 		}
 	}
@@ -73,13 +73,13 @@
 	return scores
 }
 
-// medians gives the pool's median logarithm of each class that enough members serve.
+// medians returns the pool's median logarithm for each class that at least minMembersForMedian members serve.
 func (p *pool) medians(now time.Time, kind signalKind, options Options) map[string]float64 {
 	byClass := make(map[string][]float64)
 
 	for _, m := range p.members {
-		for class, times := range m.times {
-			if mean, weight := times[kind].read(now, options.HalfLife); weight >= 1 {
+		for class, times := range m.latencies {
+			if mean, weight := times[kind].meanAndWeight(now, options.HalfLife); weight >= 1 {
 				byClass[class] = append(byClass[class], mean)
 			}
 		}
@@ -88,7 +88,7 @@
 	medians := make(map[string]float64, len(byClass))
 
 	for class, means := range byClass {
-		if len(means) >= leastForMedian {
+		if len(means) >= minMembersForMedian {
 			medians[class] = lowerMedian(means)
 		}
 	}
@@ -96,8 +96,8 @@
 	return medians
 }
 
-// spread is the median absolute deviation, scaled to a standard deviation.
-func spread(scores map[*member]float64) float64 {
+// robustStdDev estimates the standard deviation from the median absolute deviation.
+func robustStdDev(scores map[*member]float64) float64 {
 	if len(scores) == 0 {
 		return 0
 	}
@@ -107,15 +107,16 @@
 		values = append(values, s)
 	}
 
-	middle := lowerMedian(values)
+	median := lowerMedian(values)
 	for i := range values {
-		values[i] = math.Abs(values[i] - middle)
+		values[i] = math.Abs(values[i] - median)
 	}
 
-	return deviationScale * lowerMedian(values)
+	return madToStdDev * lowerMedian(values)
 }
 
-// lowerMedian sorts values; of two middle values it takes the lower, so that half a small pool can't hide the other half.
+// lowerMedian sorts values and returns the median. Of two middle values it returns the lower one, so that the slow half of a
+// small pool does not raise the median and hide itself.
 func lowerMedian(values []float64) float64 {
 	slices.Sort(values)
 
