--- a/internal/retrier/budget.go
+++ b/internal/retrier/budget.go
@@ -8,110 +8,108 @@
 )
 
 const (
-	// maxRetryBudget is the highest share that a class may set.
+	// maxRetryBudget is the maximum RetryBudget of a class.
 	maxRetryBudget = 0.1
-	// creditAttempts is of how many first attempts a class may save up the credit; at the
-	// highest share that is 10 retries. The classes of all nodes start with it together, or the
-	// first crash after a node's start would break off answers that could be resumed.
-	creditAttempts = 100
-	// creditSlack allows for sums such as ten times 0.1, which are a hair less than 1.
-	creditSlack = 1e-9
-	// fullCost is what an extra attempt costs that repeats all that the last one did,
-	// leastCost what any costs: without it streams that break often could be resumed without bound.
-	fullCost  = 1
-	leastCost = 0.1
+	// maxCreditAttempts is the number of first attempts whose credit a class can accumulate, which is 10 retries at
+	// maxRetryBudget. All nodes together start with that credit for each class. Without it, the first crash after a node starts
+	// would end responses that could be resumed.
+	maxCreditAttempts = 100
+	// roundingTolerance allows for floating-point sums, such as ten times 0.1, that are slightly less than 1.
+	roundingTolerance = 1e-9
+	// fullCost is the cost of an extra attempt that repeats all the work of the last one. minCost is the minimum cost: without it,
+	// streams that break often could be resumed without limit.
+	fullCost = 1
+	minCost  = 0.1
 )
 
-// ClassKey names a class of a service.
+// ClassKey identifies a class of a service.
 type ClassKey struct {
 	Service string
 	Class   string
 }
 
-// Budget bounds the load that extra attempts put on upstreams: over any span
-// their costs add up to at most RetryBudget for each first attempt of a class,
-// plus its saved credit, plus the node's floor. An attempt that repeats all costs
-// 1, and the resume of a broken stream its part. It is safe for concurrent use.
+// Budget limits the load of extra attempts on upstreams. In any interval, their total cost is at most RetryBudget for each first
+// attempt of a class, plus the accumulated credit of the class, plus the node's minimum retries. An attempt that repeats all
+// the work of the last one costs 1; the resume of a broken stream costs the fraction that it repeats. It is safe for concurrent use.
 //
-// Without it, a failure that hits all upstreams multiplies the load by the
-// number of attempts just when capacity is lost; it would show as a load that
-// stays up after the fault is over. The floor lets a class with little traffic
-// retry at all. All classes of the node share the floor: a floor for each
-// class would, with many services and many nodes, outgrow the budgets.
+// Without a budget, a failure of all upstreams would multiply the load by the number of attempts just when capacity is lost, and
+// the load would stay high after the fault is over. The minimum retries allow a class with little traffic to retry at
+// all. They are shared by all classes of the node: with many services and nodes, a minimum for each class would exceed the
+// budgets.
 //
-// A node starts with its part of one node's credit and floor: it may have spent its own
-// just before, and when all nodes are restarted these would add up.
+// A node starts with its share of one node's credit and minimum retries. It may have spent its own just before a restart, and if
+// all nodes restarted, the full amounts would add up.
 type Budget struct {
-	// nodes returns the number of nodes that may exist.
-	nodes func() int
+	// nodeCount returns the number of nodes that may exist.
+	nodeCount func() int
 
 	mu sync.Mutex
-	// credit is in retries, never below zero; a class that isn't in it has its part of what it can save.
-	credit map[ClassKey]float64
-	floor  *rate.Limiter
-	// floorCut says that the floor was cut to the node's part of it.
-	floorCut bool
+	// credit is measured in retries and is never negative. A class without an entry has its share of the maximum credit.
+	credit     map[ClassKey]float64
+	minRetries *rate.Limiter
+	// initialBurstReduced is true once the burst of minRetries has been reduced to the node's share.
+	initialBurstReduced bool
 }
 
-func newBudget(floorPerSecond float64, floorBurst int, nodes func() int) *Budget {
+func newBudget(minRetriesPerSecond float64, minRetryBurst int, nodeCount func() int) *Budget {
 	return &Budget{
-		nodes:  nodes,
-		credit: make(map[ClassKey]float64),
-		floor:  rate.NewLimiter(rate.Limit(floorPerSecond), floorBurst),
+		nodeCount:  nodeCount,
+		credit:     make(map[ClassKey]float64),
+		minRetries: rate.NewLimiter(rate.Limit(minRetriesPerSecond), minRetryBurst),
 	}
 }
 
-// Earn credits one first attempt; shares outside 0 to 0.1 are cut.
-func (b *Budget) Earn(pair ClassKey, share float64) {
-	share = cutShare(share)
+// Earn adds the credit of one first attempt. The share is limited to the range from 0 to maxRetryBudget.
+func (b *Budget) Earn(class ClassKey, share float64) {
+	share = clampShare(share)
 
 	b.mu.Lock()
 	defer b.mu.Unlock()
 
-	b.credit[pair] = min(b.creditOf(pair, share)+share, creditAttempts*share)
+	b.credit[class] = min(b.creditLocked(class, share)+share, maxCreditAttempts*share)
 }
 
-// Spend takes one extra attempt of the given cost, above 0 to 1, from the class's
-// credit, else a whole one from the floor. It returns false when neither has it.
-func (b *Budget) Spend(now time.Time, pair ClassKey, share, cost float64) bool {
+// Spend charges one extra attempt to the credit of the class, or a whole retry to the minimum retries if the credit is less than
+// cost. The cost is greater than 0 and at most 1. It returns false if neither is sufficient.
+func (b *Budget) Spend(now time.Time, class ClassKey, share, cost float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 
-	if credit := b.creditOf(pair, cutShare(share)); credit >= cost-creditSlack {
-		b.credit[pair] = max(credit-cost, 0)
+	if credit := b.creditLocked(class, clampShare(share)); credit >= cost-roundingTolerance {
+		b.credit[class] = max(credit-cost, 0)
 
 		return true
 	}
 
-	b.cutFloor(now)
+	b.reduceInitialBurstLocked(now)
 
-	return b.floor.AllowN(now, 1)
+	return b.minRetries.AllowN(now, 1)
 }
 
-// cutFloor leaves the node its part of the floor with which it starts; b.mu is held.
-func (b *Budget) cutFloor(now time.Time) {
-	if b.floorCut {
+// reduceInitialBurstLocked reduces the burst of minRetries to the node's share before its first use. The caller holds b.mu.
+func (b *Budget) reduceInitialBurstLocked(now time.Time) {
+	if b.initialBurstReduced {
 		return
 	}
 
-	b.floorCut = true
-	burst := b.floor.Burst()
-	b.floor.AllowN(now, burst-burst/b.nodeCount())
+	b.initialBurstReduced = true
+	burst := b.minRetries.Burst()
+	b.minRetries.AllowN(now, burst-burst/b.nodeCountLocked())
 }
 
-// nodeCount is the number of nodes that may exist, at least 1; b.mu is held.
-func (b *Budget) nodeCount() int {
-	return max(b.nodes(), 1)
+// nodeCountLocked returns the number of nodes that may exist, at least 1. The caller holds b.mu.
+func (b *Budget) nodeCountLocked() int {
+	return max(b.nodeCount(), 1)
 }
 
-func (b *Budget) creditOf(pair ClassKey, share float64) float64 {
-	if credit, ok := b.credit[pair]; ok {
+func (b *Budget) creditLocked(class ClassKey, share float64) float64 {
+	if credit, ok := b.credit[class]; ok {
 		return credit
 	}
 
-	return creditAttempts * share / float64(b.nodeCount())
+	return maxCreditAttempts * share / float64(b.nodeCountLocked())
 }
 
-func cutShare(share float64) float64 {
+func clampShare(share float64) float64 {
 	return min(max(share, 0), maxRetryBudget)
 }
--- a/internal/retrier/cost_test.go
+++ b/internal/retrier/cost_test.go
@@ -11,31 +11,30 @@
 	"quincepath.example/quincepath/internal/dispatcher"
 )
 
-func brokenAfter(first, lasted time.Duration) dispatcher.Outcome {
-	return dispatcher.Outcome{Result: dispatcher.ResultFailed, FirstToken: first, Duration: lasted, Tokens: 9}
+func brokenAfter(first, duration time.Duration) dispatcher.Outcome {
+	return dispatcher.Outcome{Result: dispatcher.ResultFailed, FirstToken: first, Duration: duration, Tokens: 9}
 }
 
-// Symptom: long reviews end with "retry budget spent", are asked again from their start, and waste what they had.
-// Sequence: all callers of a service come through one node; a third of the engines crashes under 40 of its reviews.
-// Cause: a resume is charged like a request that starts anew, though all it repeats is the reading.
+// All callers of a service use one node, and a third of the engines crash during 40 of its long responses. If a resume cost as
+// much as a request that starts again, although it repeats only prompt processing, these would end with "retry budget spent"
+// and be requested again from the beginning, and their tokens would be wasted.
 func TestThirdOfLongStreamsIsResumed(t *testing.T) {
-	allResume(t, 40, brokenAfter(time.Second, 12*time.Second))
+	testAllResume(t, 40, brokenAfter(time.Second, 12*time.Second))
 }
 
-// Symptom: upstreams are busier with reading prompts again than the budget allows.
-// Sequence: for a long time streams break off, soon or late after their first tokens.
-// Cause: a resume is taken for free because it goes on where the last attempt ended.
+// Streams break for a long time, early or late after their first tokens. If resumes were free because they continue where the last
+// attempt ended, upstreams would spend more time on repeated prompt processing than the budget allows.
 func TestStormOfBrokenStreamsStaysWithinBudget(t *testing.T) {
 	const lasted = 10 * time.Second
 
 	rapid.Check(t, func(r *rapid.T) {
 		firsts := rapid.SliceOfN(rapid.IntRange(1, 10000), 3, 30).Draw(r, "first_token_ms")
 
-		var again, storm time.Duration
+		var repeated, duration time.Duration
 
 		synctest.Test(t, func(*testing.T) {
 			began := time.Now()
-			_, _, again = playStorm(func(i int) []dispatcher.Outcome {
+			_, _, repeated = runFailureStorm(func(i int) []dispatcher.Outcome {
 				var outcomes []dispatcher.Outcome
 				for j := range 3 {
 					first := time.Duration(firsts[(i+j)%len(firsts)]) * time.Millisecond
@@ -44,10 +43,10 @@
 
 				return outcomes
 			})
-			storm = time.Since(began)
+			duration = time.Since(began)
 		})
 
-		most := 0.1*600 + 10 + defaultFloorBurst + defaultFloorPerSecond*storm.Seconds()
-		assert.Assert(r, again.Seconds() <= most*lasted.Seconds()+1e-6, "%s of reading again", again)
+		limit := 0.1*600 + 10 + defaultMinRetryBurst + defaultMinRetriesPerSecond*duration.Seconds()
+		assert.Assert(r, repeated.Seconds() <= limit*lasted.Seconds()+1e-6, "%s of repeated prompt processing", repeated)
 	})
 }
--- a/internal/retrier/hedger.go
+++ b/internal/retrier/hedger.go
@@ -10,99 +10,98 @@
 )
 
 const (
-	// hedgeSamples make a new estimate; hedgeLeast do when hedgeRound has passed.
-	hedgeSamples  = 200
-	hedgeLeast    = 50
-	hedgeRound    = 30 * time.Second
-	hedgeQuantile = 95
-	// longestFirstToken bounds the histogram, in microseconds.
-	longestFirstToken = int64(10 * time.Minute / time.Microsecond)
-	// hedgeDigits keeps a class's histogram small; an error of a tenth is good enough here.
-	hedgeDigits = 1
+	// A new estimate is made after estimateSamples samples, or after estimateInterval with at least minEstimateSamples.
+	estimateSamples    = 200
+	minEstimateSamples = 50
+	estimateInterval   = 30 * time.Second
+	hedgePercentile    = 95
+	// maxFirstTokenMicros is the largest value in the histogram, in microseconds.
+	maxFirstTokenMicros = int64(10 * time.Minute / time.Microsecond)
+	// histogramDigits is the precision in significant digits. One keeps the histogram small; an error of 10% is acceptable.
+	histogramDigits = 1
 )
 
-// Hedger decides when a slow request deserves a second copy on another upstream:
-// after the 95th percentile of its class's own times to the first token, and
-// under the budget that retries share. It is safe for concurrent use.
+// Hedger decides when a slow request is sent to a second upstream: after the 95th percentile of the times to the first token of
+// its class, and within the budget that it shares with retries. It is safe for concurrent use.
 type Hedger struct {
 	budget *Budget
 
 	mu      sync.Mutex
-	classes map[ClassKey]*hedgeClass
+	classes map[ClassKey]*classLatency
 }
 
-// hedgeClass is what is known of one class.
-type hedgeClass struct {
-	times   *hdrhistogram.Histogram
-	started time.Time
-	// after is the last estimate; zero before the first.
-	after time.Duration
+// classLatency estimates the hedge delay of one class.
+type classLatency struct {
+	firstTokens *hdrhistogram.Histogram
+	// startedAt is when the current estimate interval began.
+	startedAt time.Time
+	// hedgeDelay is the last estimate, or zero if there is none.
+	hedgeDelay time.Duration
 }
 
-// NewHedger returns a hedger that spends from the given budget.
+// NewHedger returns a Hedger that charges hedged attempts to the given budget.
 func NewHedger(budget *Budget) *Hedger {
-	return &Hedger{budget: budget, classes: make(map[ClassKey]*hedgeClass)}
+	return &Hedger{budget: budget, classes: make(map[ClassKey]*classLatency)}
 }
 
-// Observe takes the time to the first token or answer byte of a first attempt.
-// Times of classes that are not hedged are dropped.
+// Observe records the time to the first token or response byte of a first attempt. Classes that are not hedged are ignored.
 func (h *Hedger) Observe(now time.Time, service string, class configurer.Class, firstToken time.Duration) {
-	if !mayHedge(class) || firstToken <= 0 {
+	if !isHedged(class) || firstToken <= 0 {
 		return
 	}
 
 	h.mu.Lock()
 	defer h.mu.Unlock()
 
-	pair := ClassKey{Service: service, Class: class.Name}
-	known := h.classes[pair]
+	key := ClassKey{Service: service, Class: class.Name}
+	latency := h.classes[key]
 
-	if known == nil {
-		known = &hedgeClass{times: hdrhistogram.New(1, longestFirstToken, hedgeDigits), started: now}
-		h.classes[pair] = known
+	if latency == nil {
+		latency = &classLatency{firstTokens: hdrhistogram.New(1, maxFirstTokenMicros, histogramDigits), startedAt: now}
+		h.classes[key] = latency
 	}
 
-	// The value is within the histogram's bounds, so there is no error to see.
-	_ = known.times.RecordValue(min(max(firstToken.Microseconds(), 1), longestFirstToken))
-	known.estimate(now)
+	// The value is within the range of the histogram, so RecordValue cannot fail.
+	_ = latency.firstTokens.RecordValue(min(max(firstToken.Microseconds(), 1), maxFirstTokenMicros))
+	latency.estimate(now)
 }
 
-// estimate renews the percentile once the round has enough times.
-func (c *hedgeClass) estimate(now time.Time) {
-	count := c.times.TotalCount()
-	if count < hedgeSamples && (count < hedgeLeast || now.Sub(c.started) < hedgeRound) {
+// estimate updates the percentile once there are enough samples.
+func (c *classLatency) estimate(now time.Time) {
+	count := c.firstTokens.TotalCount()
+	if count < estimateSamples && (count < minEstimateSamples || now.Sub(c.startedAt) < estimateInterval) {
 		return
 	}
 
-	c.after = time.Duration(c.times.ValueAtQuantile(hedgeQuantile)) * time.Microsecond
-	c.started = now
-	c.times.Reset()
+	c.hedgeDelay = time.Duration(c.firstTokens.ValueAtQuantile(hedgePercentile)) * time.Microsecond
+	c.startedAt = now
+	c.firstTokens.Reset()
 }
 
-// After returns how long to wait for the first token before a second copy may
-// be sent, and false when the class is not hedged or too little is known of it.
+// After returns how long to wait for the first token before a hedged attempt may be sent. It returns false if the class is not
+// hedged or has no estimate yet.
 func (h *Hedger) After(service string, class configurer.Class) (time.Duration, bool) {
-	if !mayHedge(class) {
+	if !isHedged(class) {
 		return 0, false
 	}
 
 	h.mu.Lock()
 	defer h.mu.Unlock()
 
-	known := h.classes[ClassKey{Service: service, Class: class.Name}]
-	if known == nil || known.after == 0 {
+	latency := h.classes[ClassKey{Service: service, Class: class.Name}]
+	if latency == nil || latency.hedgeDelay == 0 {
 		return 0, false
 	}
 
-	return known.after, true
+	return latency.hedgeDelay, true
 }
 
-// Spend takes the second copy from the class's budget. It is to be called right
-// before the copy is sent; false means to go on waiting for the first.
+// Spend charges a hedged attempt to the budget of the class. Call it immediately before the attempt is sent. If it returns false,
+// keep waiting for the first attempt.
 func (h *Hedger) Spend(now time.Time, service string, class configurer.Class) bool {
-	return mayHedge(class) && h.budget.Spend(now, ClassKey{Service: service, Class: class.Name}, class.RetryBudget, fullCost)
+	return isHedged(class) && h.budget.Spend(now, ClassKey{Service: service, Class: class.Name}, class.RetryBudget, fullCost)
 }
 
-func mayHedge(class configurer.Class) bool {
+func isHedged(class configurer.Class) bool {
 	return class.Hedge && class.Repeatable
 }
--- a/internal/retrier/hedger_test.go
+++ b/internal/retrier/hedger_test.go
@@ -21,10 +21,10 @@
 		}
 	}
 
-	observe(class, hedgeSamples-1)
+	observe(class, estimateSamples-1)
 
 	_, ok := h.After("banco", class)
-	assert.Assert(t, !ok, "too little is known")
+	assert.Assert(t, !ok, "too few samples")
 
 	observe(class, 1)
 
@@ -36,15 +36,15 @@
 		"not repeatable": {Name: "booking", Hedge: true},
 		"not hedged":     {Name: "chat", Repeatable: true},
 	} {
-		observe(other, 2*hedgeSamples)
+		observe(other, 2*estimateSamples)
 
 		_, ok := h.After("banco", other)
 		assert.Assert(t, !ok && !h.Spend(start, "banco", other), name)
 	}
 
-	for range 10 + defaultFloorBurst {
+	for range 10 + defaultMinRetryBurst {
 		assert.Assert(t, h.Spend(start, "banco", class))
 	}
 
-	assert.Assert(t, !h.Spend(start, "banco", class), "retries and copies share one budget")
+	assert.Assert(t, !h.Spend(start, "banco", class), "retries and hedged attempts share one budget")
 }
--- a/internal/retrier/reason.go
+++ b/internal/retrier/reason.go
@@ -6,11 +6,11 @@
 	"quincepath.example/quincepath/internal/dispatcher"
 )
 
-// reason names a decision in counters, logs and answers.
-type reason int
+// decision is a decision of the Retrier. Its name appears in counters, logs and responses.
+type decision int
 
 const (
-	reasonNone reason = iota
+	decisionNone decision = iota
 
 	retryNotSent
 	retryRefused
@@ -27,14 +27,14 @@
 	endCallerGone
 	endRejected
 	endNotRepeatable
-	endAttempts
+	endAttemptsSpent
 	endPreempted
 	endBudget
 
-	reasonCount
+	decisionCount
 )
 
-var reasonNames = [reasonCount]string{
+var decisionNames = [decisionCount]string{
 	retryNotSent:     "retry_not_sent",
 	retryRefused:     "retry_refused",
 	retryFailed:      "retry_failed",
@@ -49,49 +49,49 @@
 	endCallerGone:    "end_caller_gone",
 	endRejected:      "end_rejected",
 	endNotRepeatable: "end_not_repeatable",
-	endAttempts:      "end_attempts_spent",
+	endAttemptsSpent: "end_attempts_spent",
 	endPreempted:     "end_preempted_too_often",
 	endBudget:        "end_retry_budget_spent",
 }
 
-// String returns the snake-case name.
-func (r reason) String() string {
-	return reasonNames[r]
+// String returns the name in snake case.
+func (r decision) String() string {
+	return decisionNames[r]
 }
 
-func retryReason(result dispatcher.Result, resume bool) reason {
-	retry, resumed := retryFailed, resumeFailed
+func retryReason(result dispatcher.Result, isResume bool) decision {
+	retry, resume := retryFailed, resumeFailed
 
 	switch result {
 	case dispatcher.ResultNotSent:
-		retry, resumed = retryNotSent, resumeNotSent
+		retry, resume = retryNotSent, resumeNotSent
 	case dispatcher.ResultRefused:
-		retry, resumed = retryRefused, resumeRefused
+		retry, resume = retryRefused, resumeRefused
 	case dispatcher.ResultSilent:
-		retry, resumed = retrySilent, resumeSilent
+		retry, resume = retrySilent, resumeSilent
 	case dispatcher.ResultPreempted:
-		retry, resumed = retryPreempted, resumePreempted
+		retry, resume = retryPreempted, resumePreempted
 	}
 
-	if resume {
-		return resumed
+	if isResume {
+		return resume
 	}
 
 	return retry
 }
 
-// counters counts decisions by reason.
-type counters [reasonCount]atomic.Int64
+// counters holds the number of decisions of each kind.
+type counters [decisionCount]atomic.Int64
 
-func (c *counters) add(why reason) {
-	c[why].Add(1)
+func (c *counters) add(kind decision) {
+	c[kind].Add(1)
 }
 
 func (c *counters) snapshot() map[string]int64 {
-	counts := make(map[string]int64, reasonCount)
+	counts := make(map[string]int64, decisionCount)
 
-	for why := reasonNone + 1; why < reasonCount; why++ {
-		counts[why.String()] = c[why].Load()
+	for kind := decisionNone + 1; kind < decisionCount; kind++ {
+		counts[kind.String()] = c[kind].Load()
 	}
 
 	return counts
--- a/internal/retrier/restart_test.go
+++ b/internal/retrier/restart_test.go
@@ -11,12 +11,12 @@
 	"quincepath.example/quincepath/internal/retrier"
 )
 
-// Guards against a fleet whose nodes restart and have the whole saved credit and floor once more each.
+// If each node started with the full credit and minimum retries, a restart of all nodes would add them up.
 func TestRestartsOfAllNodesAddOneNodesCredit(t *testing.T) {
 	const (
 		nodes  = 9
 		budget = 0.1
-		// saved is what one node may save up of the class's credit and of the floor.
+		// saved is the maximum credit of the class plus the minimum retries of one node.
 		saved = 100*budget + 3
 	)
 
@@ -26,7 +26,7 @@
 	failed := dispatcher.Outcome{Result: dispatcher.ResultFailed}
 	extra := 0
 
-	// Each node starts, has 20 requests that all fail, and is gone.
+	// Each node starts, has 20 requests that all fail, and stops.
 	for range nodes {
 		node := retrier.New(options)
 
--- a/internal/retrier/retrier.go
+++ b/internal/retrier/retrier.go
@@ -1,6 +1,5 @@
-// Package retrier decides what follows an attempt: the end of the request, a
-// retry on another upstream, or the resume of a broken stream. Retries are held
-// under a budget per class, so that a storm of failures can't multiply the load.
+// Package retrier decides what follows an attempt: the end of the request, a retry on another upstream, or the resume of a broken
+// stream. A retry budget per class prevents widespread failures from multiplying the load.
 package retrier
 
 import (
@@ -12,31 +11,31 @@
 	"quincepath.example/quincepath/pkg/classifier"
 )
 
-// Options are the bounds of a Retrier. Zero fields take their defaults.
+// Options configures a Retrier. Fields that are zero take their defaults.
 type Options struct {
-	// MaxAttempts bounds the attempts of a request that the holder did not end; default 4.
+	// MaxAttempts limits the attempts of a request, preempted ones excluded. The default is 4.
 	MaxAttempts int
-	// MaxPreemptions bounds the attempts that the holder may end; default 32.
+	// MaxPreemptions limits the attempts of a request that the holder may preempt. The default is 32.
 	MaxPreemptions int
-	// MinRetryBurst is how many retries a node may send beyond the budgets of all its classes; default 3.
+	// MinRetryBurst is how many retries a node may send beyond the budgets of all its classes. The default is 3.
 	MinRetryBurst int
-	// MinRetriesPerSecond refills that allowance; default 0.05, one in 20 s.
+	// MinRetriesPerSecond is the rate at which MinRetryBurst is refilled. The default is 0.05, one every 20 s.
 	MinRetriesPerSecond float64
-	// RetryAfter is the least time that a failed request's caller is told to wait, default 2 s.
-	// Up to the same again is added by request id, so that callers who failed together don't return together.
+	// RetryAfter is the minimum Retry-After of a failed request. The default is 2 s. A jitter of up to the same time, derived from
+	// the request ID, is added so that callers whose requests fail together do not return together.
 	RetryAfter time.Duration
-	// Now is the clock that refills the floor; default time.Now.
+	// Now is the clock for refilling MinRetryBurst. The default is time.Now.
 	Now func() time.Time
-	// NodeCount returns the number of nodes that may exist, which divide among them what no request has earned; default 1.
+	// NodeCount returns the number of nodes that may exist. They share the initial credit and MinRetryBurst. The default is 1.
 	NodeCount func() int
 }
 
 const (
-	defaultMaxAttempts    = 4
-	defaultMaxPreempted   = 32
-	defaultFloorBurst     = 3
-	defaultFloorPerSecond = 0.05
-	defaultRetryAfter     = 2 * time.Second
+	defaultMaxAttempts         = 4
+	defaultMaxPreemptions      = 32
+	defaultMinRetryBurst       = 3
+	defaultMinRetriesPerSecond = 0.05
+	defaultRetryAfter          = 2 * time.Second
 )
 
 func (o Options) withDefaults() Options {
@@ -45,15 +44,15 @@
 	}
 
 	if o.MaxPreemptions == 0 {
-		o.MaxPreemptions = defaultMaxPreempted
+		o.MaxPreemptions = defaultMaxPreemptions
 	}
 
 	if o.MinRetryBurst == 0 {
-		o.MinRetryBurst = defaultFloorBurst
+		o.MinRetryBurst = defaultMinRetryBurst
 	}
 
 	if o.MinRetriesPerSecond == 0 {
-		o.MinRetriesPerSecond = defaultFloorPerSecond
+		o.MinRetriesPerSecond = defaultMinRetriesPerSecond
 	}
 
 	if o.RetryAfter == 0 {
@@ -78,47 +77,47 @@
 	counters counters
 }
 
-// New returns a retrier with the node's part of full budgets and of a full floor.
+// New returns a Retrier with the node's share of the maximum credit and of MinRetryBurst.
 func New(options Options) *Retrier {
 	options = options.withDefaults()
 
 	return &Retrier{options: options, budget: newBudget(options.MinRetriesPerSecond, options.MinRetryBurst, options.NodeCount)}
 }
 
-// Budget returns the budget that retries share with hedged requests.
+// Budget returns the budget, which retries share with hedged attempts.
 func (r *Retrier) Budget() *Budget {
 	return r.budget
 }
 
-// Counts returns the number of decisions by reason, in snake case, since the start.
+// Counts returns the number of decisions since the start by their names in snake case.
 func (r *Retrier) Counts() map[string]int64 {
 	return r.counters.snapshot()
 }
 
-// Decide implements dispatcher.Judge. Progress above zero makes the next
-// attempt a resume: the dispatcher hands it on as the offset.
+// Decide implements dispatcher.Judge. If progress is greater than 0, the next attempt is a resume; the dispatcher passes progress as
+// its offset.
 func (r *Retrier) Decide(request dispatcher.Request, attempt dispatcher.Attempt, outcome dispatcher.Outcome, progress int) dispatcher.Next {
 	history := attempt.History.After(outcome)
-	pair := ClassKey{Service: request.Service.Name, Class: request.Class.Name}
+	key := ClassKey{Service: request.Service.Name, Class: request.Class.Name}
 
 	if attempt.History.Reached == 0 && history.Reached == 1 {
-		r.budget.Earn(pair, request.Class.RetryBudget)
+		r.budget.Earn(key, request.Class.RetryBudget)
 	}
 
-	why := r.judge(request, attempt, outcome, history)
-	if why == reasonNone {
-		why = r.pay(pair, request.Class.RetryBudget, outcome)
+	reason := r.endReason(request, attempt, outcome, history)
+	if reason == decisionNone {
+		reason = r.chargeBudget(key, request.Class.RetryBudget, outcome)
 	}
 
-	if why == reasonNone {
-		return r.again(outcome, progress)
+	if reason == decisionNone {
+		return r.retry(outcome, progress)
 	}
 
-	return r.end(request, outcome, history, progress, why)
+	return r.endRequest(request, outcome, history, progress, reason)
 }
 
-// judge returns why the request ends here, or reasonNone when another attempt is allowed.
-func (r *Retrier) judge(request dispatcher.Request, attempt dispatcher.Attempt, outcome dispatcher.Outcome, history dispatcher.History) reason {
+// endReason returns why the request ends now, or decisionNone if another attempt is allowed.
+func (r *Retrier) endReason(request dispatcher.Request, attempt dispatcher.Attempt, outcome dispatcher.Outcome, history dispatcher.History) decision {
 	switch outcome.Result {
 	case dispatcher.ResultDone:
 		return endDone
@@ -137,88 +136,87 @@
 	}
 
 	if outcome.Result != dispatcher.ResultPreempted && attempt.Number-history.Preempted >= r.options.MaxAttempts {
-		return endAttempts
+		return endAttemptsSpent
 	}
 
-	return reasonNone
+	return decisionNone
 }
 
-// pay takes a retry from the class's budget. A preempted attempt is the
-// holder's own decision and an attempt that was not sent put no load on any
-// upstream, so what follows these costs nothing.
-func (r *Retrier) pay(pair ClassKey, share float64, outcome dispatcher.Outcome) reason {
+// chargeBudget charges a retry to the budget of the class and returns endBudget if that is spent. A retry after a preemption is
+// free because the holder chose to preempt, and a retry after an attempt that was not sent is free because that attempt put no
+// load on any upstream.
+func (r *Retrier) chargeBudget(key ClassKey, share float64, outcome dispatcher.Outcome) decision {
 	if outcome.Result == dispatcher.ResultPreempted || outcome.Result == dispatcher.ResultNotSent {
-		return reasonNone
+		return decisionNone
 	}
 
-	if !r.budget.Spend(r.options.Now(), pair, share, cost(outcome)) {
+	if !r.budget.Spend(r.options.Now(), key, share, retryCost(outcome)) {
 		return endBudget
 	}
 
-	return reasonNone
+	return decisionNone
 }
 
-// cost is the part of the broken attempt that the next one repeats. A stream goes
-// on at its offset, so that it is the time before the first token: the wait and
-// the reading of the prompt. Charged in full, a third of the engines breaks off more
-// long answers of one busy node than it may resume, and these start anew, which
-// is the very load that the budget is there to bound. A silent stream costs all:
-// its time was spent waiting.
-func cost(outcome dispatcher.Outcome) float64 {
+// retryCost returns the fraction of the failed attempt that the next one repeats. A stream resumes at its offset, so it repeats
+// only the time to the first token: queueing and prompt processing. If resumes were charged in full, a crash of a third of
+// the engines would break more long responses of one busy node than it may resume. These would start again from the
+// beginning, which is the load that the budget is to prevent. A stream that went silent costs 1, because its time was spent
+// waiting.
+func retryCost(outcome dispatcher.Outcome) float64 {
 	if outcome.Result != dispatcher.ResultFailed || outcome.Tokens == 0 || outcome.FirstToken <= 0 || outcome.Duration <= 0 {
 		return fullCost
 	}
 
-	return min(max(outcome.FirstToken.Seconds()/outcome.Duration.Seconds(), leastCost), fullCost)
+	return min(max(outcome.FirstToken.Seconds()/outcome.Duration.Seconds(), minCost), fullCost)
 }
 
-func (r *Retrier) again(outcome dispatcher.Outcome, progress int) dispatcher.Next {
-	why := retryReason(outcome.Result, progress > 0)
-	r.counters.add(why)
+func (r *Retrier) retry(outcome dispatcher.Outcome, progress int) dispatcher.Next {
+	reason := retryReason(outcome.Result, progress > 0)
+	r.counters.add(reason)
 
 	return dispatcher.Next{
 		Again: true,
 		// The upstream of a preempted attempt did not fail and may still cache the prompt.
 		Exclude: outcome.Result != dispatcher.ResultPreempted,
-		Reason:  why.String(),
+		Reason:  reason.String(),
 	}
 }
 
-func (r *Retrier) end(request dispatcher.Request, outcome dispatcher.Outcome, history dispatcher.History, progress int, why reason) dispatcher.Next {
-	r.counters.add(why)
+func (r *Retrier) endRequest(request dispatcher.Request, outcome dispatcher.Outcome, history dispatcher.History, progress int, reason decision) dispatcher.Next {
+	r.counters.add(reason)
 
-	if why == endDone {
+	if reason == endDone {
 		return dispatcher.Next{}
 	}
 
-	code := endCode(why, outcome.Result, progress)
-	final := classifier.Wrap(outcome.Err, code, "the last attempt ended as %s: %s", outcome.Result, why)
-	final.Ran = history.Verdict()
+	code := endCode(reason, outcome.Result, progress)
+	result := classifier.Wrap(outcome.Err, code, "the last attempt ended as %s: %s", outcome.Result, reason)
+	result.Ran = history.Verdict()
 
-	if why != endRejected && why != endCallerGone {
-		final.RetryAfter = r.retryAfter(request.ID)
+	if reason != endRejected && reason != endCallerGone {
+		result.RetryAfter = r.retryAfter(request.ID)
 	}
 
-	return dispatcher.Next{Reason: why.String(), Err: final}
+	return dispatcher.Next{Reason: reason.String(), Err: result}
 }
 
 func (r *Retrier) retryAfter(requestID string) time.Duration {
-	least := r.options.RetryAfter
-	spread := time.Duration(xxhash.Sum64String(requestID) % uint64(least))
+	minimum := r.options.RetryAfter
+	jitter := time.Duration(xxhash.Sum64String(requestID) % uint64(minimum))
 
-	return least + spread
+	return minimum + jitter
 }
 
-// endCode gives the final result's number.
-func endCode(why reason, result dispatcher.Result, progress int) classifier.Code {
+// endCode returns the code of the final error.
+func endCode(reason decision, result dispatcher.Result, progress int) classifier.Code {
 	switch {
-	case why == endBudget:
+	case reason == endBudget:
 		return classifier.RetryBudgetSpent
-	case why == endCallerGone:
+	case reason == endCallerGone:
 		return classifier.CallerGone
 	case progress > 0:
 		return classifier.StreamBroken
-	case why == endRejected:
+	case reason == endRejected:
 		return classifier.InvalidRequest
 	}
 
--- a/internal/retrier/retrier_test.go
+++ b/internal/retrier/retrier_test.go
@@ -23,33 +23,33 @@
 	os.Exit(m.Run())
 }
 
-// script is a slotter, sender and observer that plays outcomes against the real dispatcher.
-type script struct {
-	outcomes []dispatcher.Outcome
-	pool     int
-	refusal  error
+// scriptedUpstreams is a slotter, sender and observer that returns the given outcomes to a real dispatcher.
+type scriptedUpstreams struct {
+	outcomes     []dispatcher.Outcome
+	poolSize     int
+	acquireError error
 
 	attempts []dispatcher.Attempt
 	results  []dispatcher.Result
 	tokens   int
 }
 
-func (s *script) Acquire(_ context.Context, ask dispatcher.Ask) (dispatcher.Slot, error) {
-	for i := range s.pool {
+func (s *scriptedUpstreams) Acquire(_ context.Context, ask dispatcher.Ask) (dispatcher.Slot, error) {
+	for i := range s.poolSize {
 		name := fmt.Sprintf("u%02d", i)
 		if !slices.Contains(ask.Exclude, name) {
 			return dispatcher.Slot{Upstream: configurer.Upstream{Name: name}}, nil
 		}
 	}
 
-	return dispatcher.Slot{}, s.refusal
+	return dispatcher.Slot{}, s.acquireError
 }
 
-func (s *script) Release(dispatcher.Slot, dispatcher.Ask, dispatcher.Outcome) {}
+func (s *scriptedUpstreams) Release(dispatcher.Slot, dispatcher.Ask, dispatcher.Outcome) {}
 
-func (s *script) Progress() int { return s.tokens }
+func (s *scriptedUpstreams) Progress() int { return s.tokens }
 
-func (s *script) Send(_ context.Context, attempt dispatcher.Attempt) dispatcher.Outcome {
+func (s *scriptedUpstreams) Send(_ context.Context, attempt dispatcher.Attempt) dispatcher.Outcome {
 	outcome := dispatcher.Outcome{Result: dispatcher.ResultDone}
 	if len(s.attempts) < len(s.outcomes) {
 		outcome = s.outcomes[len(s.attempts)]
@@ -62,10 +62,10 @@
 	return outcome
 }
 
-func (s *script) AttemptEnded(dispatcher.Request, dispatcher.Attempt, dispatcher.Outcome, dispatcher.Next) {
+func (s *scriptedUpstreams) AttemptEnded(dispatcher.Request, dispatcher.Attempt, dispatcher.Outcome, dispatcher.Next) {
 }
 
-func (s *script) run(judge dispatcher.Judge, repeatable bool) *classifier.Error {
+func (s *scriptedUpstreams) run(judge dispatcher.Judge, repeatable bool) *classifier.Error {
 	request := dispatcher.Request{
 		ID:         "r",
 		Service:    configurer.Service{Name: "assistente"},
@@ -74,8 +74,8 @@
 		Arrived:    time.Now(),
 	}
 
-	if s.refusal == nil {
-		s.refusal = classifier.New(classifier.NoUpstream, "all are excluded")
+	if s.acquireError == nil {
+		s.acquireError = classifier.New(classifier.NoUpstream, "all are excluded")
 	}
 
 	return dispatcher.New(s, judge, s).Run(context.Background(), request, s)
@@ -117,7 +117,7 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			judge := New(Options{})
-			play := &script{outcomes: tt.outcomes, pool: tt.pool}
+			play := &scriptedUpstreams{outcomes: tt.outcomes, poolSize: tt.pool}
 
 			failure := play.run(judge, tt.repeatable)
 
@@ -136,10 +136,8 @@
 	}
 }
 
-// Symptom: a caller whose request failed is not told when to come back, or all
-// such callers are told the same moment and return as one crowd.
-// Sequence: an upstream breaks off the requests of many callers at once.
-// Cause: a constant or missing Retry-After.
+// An upstream breaks the requests of many callers at once. Without Retry-After they would not know when to retry, and with a
+// constant one they would all retry at the same moment.
 func TestRetryAfterIsSpread(t *testing.T) {
 	judge := New(Options{})
 	seen := make(map[time.Duration]bool)
@@ -164,7 +162,7 @@
 
 	rapid.Check(t, func(t *rapid.T) {
 		judge := New(Options{MinRetryBurst: 100})
-		play := &script{pool: 12}
+		play := &scriptedUpstreams{poolSize: 12}
 
 		for range rapid.IntRange(0, 12).Draw(t, "length") {
 			outcome := dispatcher.Outcome{Result: rapid.SampledFrom(results).Draw(t, "result")}
@@ -188,16 +186,16 @@
 	})
 }
 
-// checkAttempts holds: no failed upstream twice, nothing after a possible run
-// unless repeatable, and every attempt starts at the token where the answer ends.
-func checkAttempts(t *rapid.T, play *script, repeatable bool) {
+// checkAttempts checks that no failed upstream is used twice, that a request is not sent again after it may have run unless it is
+// repeatable, and that each attempt starts at the token where the response so far ends.
+func checkAttempts(t *rapid.T, play *scriptedUpstreams, repeatable bool) {
 	failed := make(map[string]bool)
 	mayHaveRun := false
 	tokens := 0
 
 	for i, attempt := range play.attempts {
-		assert.Assert(t, !failed[attempt.Slot.Upstream.Name], "the same upstream again")
-		assert.Assert(t, repeatable || !mayHaveRun, "sent again after a possible run")
+		assert.Assert(t, !failed[attempt.Slot.Upstream.Name], "a failed upstream was used again")
+		assert.Assert(t, repeatable || !mayHaveRun, "sent again although it may have run")
 		assert.Equal(t, attempt.Offset, tokens)
 
 		result := play.results[i]
@@ -210,10 +208,8 @@
 	}
 }
 
-// Symptom: the load on upstreams grows by the number of attempts while they
-// fail, and stays up after the fault is over.
-// Sequence: upstreams fail in a random share of all attempts for a long time.
-// Cause: every failure is retried without a common bound.
+// Upstreams fail in a random share of all attempts for a long time. If each failure were retried without a common limit, the load
+// on upstreams would be multiplied by the number of attempts and stay high after the fault is over.
 func TestStormStaysWithinBudget(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		shares := rapid.SliceOfN(rapid.IntRange(0, 100), 1, 6).Draw(r, "failing_percent")
@@ -226,22 +222,22 @@
 
 		synctest.Test(t, func(*testing.T) {
 			started := time.Now()
-			extra, first, _ = playStorm(func(i int) []dispatcher.Outcome { return storm(&seed, shares[i*len(shares)/600]) })
+			extra, first, _ = runFailureStorm(func(i int) []dispatcher.Outcome { return failingOutcomes(&seed, shares[i*len(shares)/600]) })
 			lasted = time.Since(started)
 		})
 
-		floor := 10 + defaultFloorBurst + defaultFloorPerSecond*lasted.Seconds()
+		floor := 10 + defaultMinRetryBurst + defaultMinRetriesPerSecond*lasted.Seconds()
 		assert.Assert(r, float64(extra) <= 0.1*float64(first)+floor+1e-6, "%d extra on %d first", extra, first)
 	})
 }
 
-// playStorm runs 600 requests. It counts their first and extra attempts that reached
-// an upstream, and adds up for how long those that were followed by another had no token.
-func playStorm(outcomes func(i int) []dispatcher.Outcome) (extra, first int, again time.Duration) {
+// runFailureStorm runs 600 requests. It returns the numbers of their first and extra attempts that reached an upstream, and the
+// total time to the first token of the attempts that were followed by another one.
+func runFailureStorm(outcomes func(i int) []dispatcher.Outcome) (extra, first int, repeated time.Duration) {
 	judge := New(Options{})
 
 	for i := range 600 {
-		play := &script{pool: 12, outcomes: outcomes(i)}
+		play := &scriptedUpstreams{poolSize: 12, outcomes: outcomes(i)}
 		_ = play.run(judge, true)
 
 		reached := 0
@@ -253,7 +249,7 @@
 		}
 
 		for j := range len(play.results) - 1 {
-			again += play.outcomes[j].FirstToken
+			repeated += play.outcomes[j].FirstToken
 		}
 
 		first += min(reached, 1)
@@ -262,45 +258,45 @@
 		time.Sleep(100 * time.Millisecond)
 	}
 
-	return extra, first, again
+	return extra, first, repeated
 }
 
-// Symptom: callers get half an answer and "retry budget spent" although two engines are well.
-// Sequence: a node has just started; an engine crashes in the middle of several answers.
-// Cause: a budget that starts empty pays for the floor's three resumes only.
+// A node has just started when an engine crashes in the middle of several responses. A budget without initial credit would allow only
+// the three resumes of the minimum retries. The other callers would get a partial response and "retry budget spent", although
+// two engines are healthy.
 func TestFirstCrashAfterStartIsResumed(t *testing.T) {
-	allResume(t, 8, dispatcher.Outcome{Result: dispatcher.ResultFailed, Tokens: 20})
+	testAllResume(t, 8, dispatcher.Outcome{Result: dispatcher.ResultFailed, Tokens: 20})
 }
 
-// allResume breaks the first attempts of as many requests of a new node.
-func allResume(t *testing.T, count int, broken dispatcher.Outcome) {
+// testAllResume breaks the first attempts of count requests of a new node and checks that all are resumed.
+func testAllResume(t *testing.T, count int, broken dispatcher.Outcome) {
 	t.Helper()
 
 	judge := New(Options{})
 
 	for range count {
-		play := &script{pool: 3, outcomes: []dispatcher.Outcome{broken}}
+		play := &scriptedUpstreams{poolSize: 3, outcomes: []dispatcher.Outcome{broken}}
 		failure := play.run(judge, true)
 
 		assert.Assert(t, failure == nil, "%v", failure)
 	}
 }
 
-// storm draws four outcomes that fail with the given percentage.
-func storm(seed *uint64, percent int) []dispatcher.Outcome {
+// failingOutcomes draws up to four failed outcomes. Each attempt fails with the given percentage.
+func failingOutcomes(seed *uint64, percent int) []dispatcher.Outcome {
 	kinds := []dispatcher.Result{dispatcher.ResultFailed, dispatcher.ResultSilent, dispatcher.ResultRefused, dispatcher.ResultNotSent}
 
 	var outcomes []dispatcher.Outcome
 
 	for range 4 {
 		*seed = *seed*6364136223846793005 + 1442695040888963407
-		draw := *seed >> 33
+		random := *seed >> 33
 
-		if int(draw%100) >= percent {
+		if int(random%100) >= percent {
 			return outcomes
 		}
 
-		outcomes = append(outcomes, dispatcher.Outcome{Result: kinds[draw/100%4]})
+		outcomes = append(outcomes, dispatcher.Outcome{Result: kinds[random/100%4]})
 	}
 
 	return outcomes
