--- a/internal/drainer/drainer.go
+++ b/internal/drainer/drainer.go
@@ -1,7 +1,7 @@
-// Package drainer decides how a node stops without cutting a request, and which
-// upstreams are leaving.
+// Package drainer implements the graceful shutdown of a node, in which no request in flight is cut off, and tracks which upstreams
+// are leaving.
 //
-// It is plain code over events and time and does no input or output.
+// Callers pass in events and the time. The package does no I/O.
 package drainer
 
 import (
@@ -9,17 +9,18 @@
 	"time"
 )
 
-// Phase is a step of a planned stop. Phases never go back.
+// Phase is a phase of a graceful shutdown. Phases only advance.
 type Phase int
 
 const (
-	// Serving is the ordinary state.
+	// Serving means that no shutdown has begun.
 	Serving Phase = iota
-	// Leaving means that the node is announced as leaving but takes requests of callers that kept an old answer.
+	// Leaving means that the node is announced as leaving, but accepts requests from callers that still use an earlier list of
+	// entries.
 	Leaving
-	// Finishing means that new requests are refused and those in flight finish.
+	// Finishing means that new requests are refused while those in flight finish.
 	Finishing
-	// HandingOver means that nothing is in flight and pools and claim shards go to other nodes.
+	// HandingOver means that nothing is in flight, and pools and claim shards are handed over to other nodes.
 	HandingOver
 	// Stopped means that the process may exit.
 	Stopped
@@ -41,54 +42,55 @@
 	}
 }
 
-// Reason says why a stop has ended.
+// Reason is the reason for the end of a shutdown.
 type Reason string
 
 const (
-	// ReasonNone means that the stop has not ended.
+	// ReasonNone means that the shutdown has not ended.
 	ReasonNone Reason = ""
-	// ReasonDrained means that nothing was cut and all was handed over.
+	// ReasonDrained means that all requests finished and the handover was completed.
 	ReasonDrained Reason = "drained"
-	// ReasonDeadline means that the drain timeout ran out first; what was in flight is cut.
+	// ReasonDeadline means that the drain timeout expired first. Requests in flight are cut off.
 	ReasonDeadline Reason = "deadline"
-	// ReasonSecondSignal means that the operator asked again and wants an end at once.
+	// ReasonSecondSignal means that the operator sent a second signal to stop the node immediately.
 	ReasonSecondSignal Reason = "second_signal"
 )
 
-// Options are the fixed parameters of a Drainer.
+// Options configures a Drainer.
 type Options struct {
-	// EntryLifetime is how long callers keep an answer of GET /v1/entries.
+	// EntryLifetime is how long callers may use a response of GET /v1/entries.
 	EntryLifetime time.Duration
-	// PropagationTime is how long other nodes may still name this one after it announced its leaving; 0 means DefaultPropagation.
+	// PropagationTime is how long other nodes may list this one after it announced that it is leaving. 0 means
+	// DefaultPropagationTime.
 	PropagationTime time.Duration
-	// DrainTimeout bounds the whole stop from the first signal on.
-	// It must exceed EntryLifetime plus Propagation, or kept answers lead to a node that is gone.
+	// DrainTimeout limits the duration of the shutdown, from the first signal on. It must be longer than EntryLifetime plus
+	// PropagationTime. Otherwise callers may still have this node in their list of entries after it is gone.
 	DrainTimeout time.Duration
 }
 
-// DefaultPropagationTime is above the time after which all of 370 nodes knew of a leaving
-// at 5% loss (0.7 s measured, see TestProber_LeaveIsKnownAtOnce of package prober).
+// DefaultPropagationTime exceeds the 0.7 s after which all of 370 nodes knew that a node was leaving, at 5% packet loss. See
+// TestProber_LeaveIsKnownAtOnce in package prober.
 const DefaultPropagationTime = 2 * time.Second
 
-// Drainer is the planned stop of one node. It is safe for concurrent use.
+// Drainer controls the graceful shutdown of one node. It is safe for concurrent use.
 //
-// Order of a stop: Begin, then announce to the peers; Accepting until the
-// longest kept answer has run out; then refuse new requests; when Done's count
-// in flight is zero, HandOver is due once; after HandedOver the stop is done.
+// A shutdown proceeds as follows. The caller calls Begin and announces to the peers that the node is leaving. Accepting returns true
+// until the last list of entries that names the node has expired; from then on new requests are refused. Once no requests are
+// in flight, StartHandover returns true once. After CompleteHandover, Done returns true.
 type Drainer struct {
 	options Options
 
 	mu sync.Mutex
-	// began is the time of the first signal; zero while serving.
-	began time.Time
-	// forced says that a second signal came.
+	// beganAt is the time of the first signal, or zero before it.
+	beganAt time.Time
+	// forced is true after a second signal.
 	forced bool
-	// handingOver says that HandOverDue has answered true; it stays so.
-	handingOver bool
-	handedOver  bool
+	// handoverStarted is true once StartHandover has returned true.
+	handoverStarted   bool
+	handoverCompleted bool
 }
 
-// New returns the stop of a node that serves.
+// New returns a Drainer in phase Serving.
 func New(options Options) *Drainer {
 	if options.PropagationTime <= 0 {
 		options.PropagationTime = DefaultPropagationTime
@@ -97,122 +99,123 @@
 	return &Drainer{options: options}
 }
 
-// Begin starts the stop and reports whether it was the first call. The second call ends the stop at once.
+// Begin begins the shutdown and reports whether this is the first call. A second call ends the shutdown immediately.
 func (d *Drainer) Begin(now time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 
-	if !d.began.IsZero() {
+	if !d.beganAt.IsZero() {
 		d.forced = true
 
 		return false
 	}
 
-	d.began = now
+	d.beganAt = now
 
 	return true
 }
 
-// Accepting says whether a request that arrives now is served. If not, the answer is "node leaving, not run".
+// Accepting reports whether a request that arrives now is accepted. If not, the caller is told that the node is leaving and that the
+// request did not run.
 func (d *Drainer) Accepting(now time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 
-	return d.accepting(now)
+	return d.acceptingLocked(now)
 }
 
-func (d *Drainer) accepting(now time.Time) bool {
-	if d.began.IsZero() {
+func (d *Drainer) acceptingLocked(now time.Time) bool {
+	if d.beganAt.IsZero() {
 		return true
 	}
 
-	return !d.forced && now.Before(d.refuseAt())
+	return !d.forced && now.Before(d.refusalTimeLocked())
 }
 
-// refuseAt is when the last answer that names this node has run out, or the deadline.
-func (d *Drainer) refuseAt() time.Time {
+// refusalTimeLocked returns the time at which the last list of entries that names this node expires, or the deadline if that is
+// earlier. The caller holds d.mu.
+func (d *Drainer) refusalTimeLocked() time.Time {
 	wait := min(d.options.EntryLifetime+d.options.PropagationTime, d.options.DrainTimeout)
 
-	return d.began.Add(wait)
+	return d.beganAt.Add(wait)
 }
 
-// ShouldCloseConnections says whether answers carry "Connection: close", so that
-// callers connect to another node for their next request.
+// ShouldCloseConnections reports whether responses carry "Connection: close", which makes callers connect to another node for their
+// next request.
 func (d *Drainer) ShouldCloseConnections() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 
-	return !d.began.IsZero()
+	return !d.beganAt.IsZero()
 }
 
-// Deadline returns when the stop ends at the latest; false while serving.
+// Deadline returns the latest end of the shutdown, or false if no shutdown has begun.
 func (d *Drainer) Deadline() (time.Time, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 
-	return d.deadline(), !d.began.IsZero()
+	return d.deadlineLocked(), !d.beganAt.IsZero()
 }
 
-func (d *Drainer) deadline() time.Time {
-	return d.began.Add(d.options.DrainTimeout)
+func (d *Drainer) deadlineLocked() time.Time {
+	return d.beganAt.Add(d.options.DrainTimeout)
 }
 
-// StartHandover answers true once: when new requests are refused and none is in flight.
-// The caller then hands over pools and claim shards and calls HandedOver.
+// StartHandover returns true once, when new requests are refused and none are in flight. The caller then hands over pools and claim
+// shards and calls CompleteHandover.
 func (d *Drainer) StartHandover(now time.Time, inFlight int) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 
-	if d.began.IsZero() || d.forced || d.handingOver || d.accepting(now) || inFlight > 0 {
+	if d.beganAt.IsZero() || d.forced || d.handoverStarted || d.acceptingLocked(now) || inFlight > 0 {
 		return false
 	}
 
-	d.handingOver = true
+	d.handoverStarted = true
 
 	return true
 }
 
-// CompleteHandover records that nothing is held any more, or that it could not be handed over;
-// other nodes then take it by their own means.
+// CompleteHandover records that the handover succeeded or failed. If it failed, other nodes take over without it.
 func (d *Drainer) CompleteHandover() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 
-	d.handedOver = true
+	d.handoverCompleted = true
 }
 
-// Done says whether the process may exit, and why.
+// Done reports whether the process may exit, and the reason.
 func (d *Drainer) Done(now time.Time, inFlight int) (bool, Reason) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 
 	switch {
-	case d.began.IsZero():
+	case d.beganAt.IsZero():
 		return false, ReasonNone
 	case d.forced:
 		return true, ReasonSecondSignal
-	case d.handedOver && inFlight == 0:
+	case d.handoverCompleted && inFlight == 0:
 		return true, ReasonDrained
-	case !now.Before(d.deadline()):
+	case !now.Before(d.deadlineLocked()):
 		return true, ReasonDeadline
 	default:
 		return false, ReasonNone
 	}
 }
 
-// Phase returns the step of the stop for logs and operators.
+// Phase returns the current phase, for logs and operators.
 func (d *Drainer) Phase(now time.Time) Phase {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 
 	switch {
-	case d.began.IsZero():
+	case d.beganAt.IsZero():
 		return Serving
-	case d.forced || d.handedOver || !now.Before(d.deadline()):
+	case d.forced || d.handoverCompleted || !now.Before(d.deadlineLocked()):
 		return Stopped
-	case d.handingOver:
+	case d.handoverStarted:
 		return HandingOver
-	case d.accepting(now):
+	case d.acceptingLocked(now):
 		return Leaving
 	default:
 		return Finishing
--- a/internal/drainer/drainer_test.go
+++ b/internal/drainer/drainer_test.go
@@ -20,9 +20,8 @@
 	return drainer.Options{EntryLifetime: 10 * time.Second, DrainTimeout: 30 * time.Second}
 }
 
-// Symptom: a caller that kept its answer is refused, or cut, by a node in a planned stop.
-// Sequence: SIGTERM at 0 s; another node names this one until 2 s; the caller keeps that until 12 s; a request runs until 20 s.
-// Cause: a stop that looks only at what is in flight.
+// SIGTERM arrives at 0 s. Another node lists this one until 2 s, a caller uses that list until 12 s, and a request runs until 20 s.
+// A shutdown that considered only requests in flight would refuse or cut off a caller whose list is still valid.
 func TestDrainer_PlannedStop(t *testing.T) {
 	d := drainer.New(options())
 	assert.Assert(t, d.Accepting(at(0)))
@@ -60,8 +59,7 @@
 	assert.Equal(t, reason, drainer.ReasonDrained)
 }
 
-// Symptom: a node never stops. Sequence: SIGTERM; a stream does not end, or the handover hangs.
-// Cause: a stop without a deadline.
+// After SIGTERM a stream does not end, or the handover hangs. Without a deadline the node would never stop.
 func TestDrainer_Deadline(t *testing.T) {
 	d := drainer.New(options())
 	d.Begin(at(0))
@@ -74,8 +72,7 @@
 	assert.Equal(t, reason, drainer.ReasonDeadline)
 }
 
-// Symptom: the operator's second signal does nothing. Sequence: SIGTERM, and SIGTERM again.
-// Cause: the second signal taken for the first.
+// An operator sends SIGTERM twice. If the second signal were treated like the first, it would have no effect.
 func TestDrainer_SecondSignal(t *testing.T) {
 	d := drainer.New(options())
 	d.Begin(at(0))
@@ -87,7 +84,7 @@
 	assert.Equal(t, reason, drainer.ReasonSecondSignal)
 }
 
-// A stop that ends as drained has cut nothing and refused nobody who held a valid answer.
+// A shutdown that ends with ReasonDrained has cut off no request and refused no caller whose list of entries was valid.
 func TestDrainer_NothingIsCut(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := drainer.New(options())
@@ -114,7 +111,7 @@
 			}
 
 			if reason == drainer.ReasonDrained && inFlight > 0 {
-				t.Fatalf("%d cut", inFlight)
+				t.Fatalf("%d requests cut off", inFlight)
 			}
 
 			return
@@ -124,8 +121,8 @@
 	})
 }
 
-// Symptom: a leaving upstream gets new work. Sequence: its report says leaving; the platform's list lags or is down.
-// Cause: one source's silence taken for a denial.
+// An upstream reports that it is leaving while the platform's list lags or is unavailable. If a missing mark of one source cleared
+// the marks of others, the upstream would get new requests.
 func TestUpstreamLeaving_AnySourceHolds(t *testing.T) {
 	u := drainer.NewLeavingUpstreams()
 	u.Mark(at(1), drainer.SourceReport, "a", true)
--- a/internal/drainer/upstream.go
+++ b/internal/drainer/leaving_upstreams.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Source says where a leaving mark came from.
+// Source is the source of a leaving mark.
 type Source int
 
 const (
@@ -17,26 +17,24 @@
 	SourceList
 	// SourceReport is the upstream's own load report.
 	SourceReport
-	sources
+	sourceCount
 )
 
-// LeavingUpstreams merges the leaving marks of upstreams. It is safe for concurrent use.
+// LeavingUpstreams merges the leaving marks of upstreams from all sources. It is safe for concurrent use.
 //
-// An upstream gets no new work while any source marks it. A source that falls
-// silent keeps its last word: an outage of the platform must not send work back
-// to a server that is going away. The mark holds from the call on, so the time
-// until an upstream gets nothing new is that of its source alone: the poll of
-// load reports (more than 1.5 s would break the promise of nothing new within
-// 2 s, for a slot may be on its way), the time until a settings change is in
-// force, or the lag of the list, whichever comes first.
+// An upstream gets no new requests while any source marks it. The marks of a source that becomes unavailable are kept: an outage of
+// the platform must not send requests to a server that is going away. A mark takes effect immediately, so the delay until
+// an upstream gets no new requests depends only on its source: the poll interval of load reports, the time until a settings
+// change is in force, or the lag of the list, whichever is shortest. An upstream is promised no new requests 2 s after it starts
+// to leave. The poll interval may therefore be at most 1.5 s, because a slot may already have been granted when a report arrives.
 type LeavingUpstreams struct {
 	mu     sync.RWMutex
-	marked [sources]map[string]bool
-	// since is when the first of the present marks came.
+	marked [sourceCount]map[string]bool
+	// since is the time of the earliest mark since the upstream was last unmarked.
 	since map[string]time.Time
 }
 
-// NewLeavingUpstreams returns a tracker without marks.
+// NewLeavingUpstreams returns a LeavingUpstreams without marks.
 func NewLeavingUpstreams() *LeavingUpstreams {
 	u := &LeavingUpstreams{since: make(map[string]time.Time)}
 	for i := range u.marked {
@@ -46,16 +44,15 @@
 	return u
 }
 
-// Mark takes in what one source says about one upstream, and reports whether that is news.
+// Mark sets or clears one source's mark of an upstream, and reports whether the mark changed.
 func (u *LeavingUpstreams) Mark(now time.Time, source Source, upstream string, leaving bool) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 
-	return u.mark(now, source, upstream, leaving)
+	return u.markLocked(now, source, upstream, leaving)
 }
 
-// Replace takes in all leaving upstreams that a source names; others lose this
-// source's mark. It reports whether any mark changed.
+// Replace replaces all marks of a source. It reports whether any mark changed.
 func (u *LeavingUpstreams) Replace(now time.Time, source Source, upstreams []string) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -64,18 +61,18 @@
 
 	for name := range u.marked[source] {
 		if !slices.Contains(upstreams, name) {
-			changed = u.mark(now, source, name, false) || changed
+			changed = u.markLocked(now, source, name, false) || changed
 		}
 	}
 
 	for _, name := range upstreams {
-		changed = u.mark(now, source, name, true) || changed
+		changed = u.markLocked(now, source, name, true) || changed
 	}
 
 	return changed
 }
 
-// Marked returns the upstreams that a source marks, in no order.
+// Marked returns the upstreams that a source marks, in no particular order.
 func (u *LeavingUpstreams) Marked(source Source) []string {
 	u.mu.RLock()
 	defer u.mu.RUnlock()
@@ -83,7 +80,7 @@
 	return slices.Collect(maps.Keys(u.marked[source]))
 }
 
-func (u *LeavingUpstreams) mark(now time.Time, source Source, upstream string, leaving bool) bool {
+func (u *LeavingUpstreams) markLocked(now time.Time, source Source, upstream string, leaving bool) bool {
 	if u.marked[source][upstream] == leaving {
 		return false
 	}
@@ -100,14 +97,14 @@
 
 	delete(u.marked[source], upstream)
 
-	if !u.anyMark(upstream) {
+	if !u.isMarkedLocked(upstream) {
 		delete(u.since, upstream)
 	}
 
 	return true
 }
 
-func (u *LeavingUpstreams) anyMark(upstream string) bool {
+func (u *LeavingUpstreams) isMarkedLocked(upstream string) bool {
 	for _, marks := range u.marked {
 		if marks[upstream] {
 			return true
@@ -117,7 +114,7 @@
 	return false
 }
 
-// Leaving says whether the upstream gets no new work, and since when.
+// Leaving reports whether any source marks the upstream, and since when.
 func (u *LeavingUpstreams) Leaving(upstream string) (since time.Time, leaving bool) {
 	u.mu.RLock()
 	defer u.mu.RUnlock()
