--- a/internal/lister/lister.go
+++ b/internal/lister/lister.go
@@ -1,8 +1,7 @@
-// Package lister decides which addresses a caller is told to use, in order.
+// Package lister returns the ordered list of node addresses that a caller should use.
 //
-// Nothing balances in front of the nodes: the order of each answer does. The
-// first addresses are where most callers connect, the rest are kept for when
-// these fail, so they stand in several failure domains.
+// There is no load balancer in front of the nodes; the order of the lists balances the load instead. Most callers connect to the
+// first addresses. The others are fallbacks and are therefore spread over several failure domains.
 package lister
 
 import (
@@ -14,71 +13,71 @@
 	"time"
 )
 
-// Node is one node that an answer may name.
+// Node is a node that a list may contain.
 type Node struct {
 	Name          string
 	Address       string
 	FailureDomain string
-	// Suspect nodes stand behind all others.
+	// Suspect nodes are listed after all others.
 	Suspect bool
-	// Leaving nodes are left out while any other is known.
+	// Leaving nodes are omitted unless all nodes are leaving.
 	Leaving bool
-	// LoadPercent is the use of the node in percent; more load means fewer callers.
+	// LoadPercent is the utilisation of the node. Nodes with a higher load are listed first for fewer callers.
 	LoadPercent int
 }
 
-// HolderLookup names the nodes that hold the pools of a service; callers of the service do best there.
+// HolderLookup returns the nodes that hold the pools of a service. Callers of the service should preferably use these.
 type HolderLookup interface {
 	HoldersOf(service string) []string
 }
 
-// Options are the fixed parameters of a Lister.
+// Options configures a Lister.
 type Options struct {
-	// MaxEntries bounds the entries of an answer; 0 means 8.
+	// MaxEntries is the maximum number of entries in a list. 0 means 8.
 	MaxEntries int
-	// EntryLifetime is how long a caller keeps an answer.
+	// EntryLifetime is how long a caller may use a list.
 	EntryLifetime time.Duration
-	// Seed makes the order repeatable.
+	// Seed is the seed of the random order.
 	Seed uint64
 	// Holders may be nil.
 	Holders HolderLookup
-	// FullSteeringLoad is the load in percent up to which a holder is named first to all
-	// callers of its services; 0 means 50. From there to SteerNone ever fewer are.
+	// FullSteeringLoad is the load in percent below which a holder is listed first for all callers of its services. 0 means 50.
+	// From there to NoSteeringLoad, the share of these callers falls to zero.
 	FullSteeringLoad int
-	// NoSteeringLoad is the load from which a holder is not preferred; 0 means 90.
+	// NoSteeringLoad is the load in percent from which a holder is not preferred. 0 means 90.
 	NoSteeringLoad int
 }
 
-// Caller is what a caller tells about itself; both may be empty.
+// Caller is what a caller states about itself. Both fields may be empty.
 type Caller struct {
 	Service       string
 	FailureDomain string
 }
 
-// Entry is one address of an answer.
+// Entry is one address of a list.
 type Entry struct {
 	Node          string
 	Address       string
 	FailureDomain string
 }
 
-// EntryList is an ordered list, best first, never longer than Options.Max.
+// EntryList is a list of at most Options.MaxEntries entries, the best first.
 type EntryList struct {
 	Entries []Entry
-	// Lifetime is how long the caller may keep the answer.
+	// Lifetime is how long the caller may use the list.
 	Lifetime time.Duration
 }
 
 const (
-	defaultMax = 8
-	// leastRoom is the free part that a full node counts with.
-	leastRoom = 0.05
+	defaultMaxEntries = 8
+	// minFreeFraction is the free fraction that is assumed for a full node.
+	minFreeFraction = 0.05
 
-	defaultSteerBelow = 50
-	defaultSteerNone  = 90
+	defaultFullSteeringLoad = 50
+	defaultNoSteeringLoad   = 90
 )
 
-// Lister makes the answers. It is safe for concurrent use.
+// Lister returns lists of entries. It is safe for concurrent use.
 type Lister struct {
 	options Options
 
@@ -89,53 +88,53 @@
 // New returns a Lister.
 func New(options Options) *Lister {
 	if options.MaxEntries <= 0 {
-		options.MaxEntries = defaultMax
+		options.MaxEntries = defaultMaxEntries
 	}
 
 	if options.FullSteeringLoad <= 0 {
-		options.FullSteeringLoad = defaultSteerBelow
+		options.FullSteeringLoad = defaultFullSteeringLoad
 	}
 
 	if options.NoSteeringLoad <= 0 {
-		options.NoSteeringLoad = defaultSteerNone
+		options.NoSteeringLoad = defaultNoSteeringLoad
 	}
 
 	return &Lister{options: options, random: rand.New(rand.NewPCG(options.Seed, options.Seed))}
 }
 
-// candidate is a node with what orders it.
+// candidate is a node with the values by which it is ordered.
 type candidate struct {
 	Node
-	// key is a random number that favours nodes with little load; least first.
-	key float64
-	// steered says whether this caller would be sent to the node as a holder.
-	steered bool
-	// rank is the place of the node in its failure domain.
-	rank int
+	// sortKey is a random number that tends to be smaller for nodes with a lower load. The smallest is first.
+	sortKey float64
+	// mayPrefer is true if the load of the node allows this caller to be steered to it as a holder.
+	mayPrefer bool
+	// domainRank is the position of the node within its failure domain.
+	domainRank int
 }
 
-// List returns the answer for one caller. The nodes include this one; none may be dead.
+// List returns the list of entries for one caller. The nodes include this node and no dead nodes.
 func (l *Lister) List(caller Caller, nodes []Node) EntryList {
-	usable := withoutLeaving(nodes)
-	candidates := l.draw(usable)
+	available := excludeLeaving(nodes)
+	candidates := l.shuffle(available)
 
-	chosen := l.prefer(caller, candidates)
-	chosen = append(chosen, spread(candidates, chosen)...)
+	chosen := l.choosePreferred(caller, candidates)
+	chosen = append(chosen, alternateDomains(candidates, chosen)...)
 
-	// Stable: among nodes of equal standing the order made above stays.
-	slices.SortStableFunc(chosen, func(a, b *candidate) int { return compareBool(a.Suspect, b.Suspect) })
+	// A stable sort keeps the order above among suspects and among the others.
+	slices.SortStableFunc(chosen, func(a, b *candidate) int { return falseFirst(a.Suspect, b.Suspect) })
 
-	answer := EntryList{Lifetime: l.options.EntryLifetime, Entries: make([]Entry, 0, l.options.MaxEntries)}
+	list := EntryList{Lifetime: l.options.EntryLifetime, Entries: make([]Entry, 0, l.options.MaxEntries)}
 
 	for _, c := range chosen[:min(len(chosen), l.options.MaxEntries)] {
-		answer.Entries = append(answer.Entries, Entry{Node: c.Name, Address: c.Address, FailureDomain: c.FailureDomain})
+		list.Entries = append(list.Entries, Entry{Node: c.Name, Address: c.Address, FailureDomain: c.FailureDomain})
 	}
 
-	return answer
+	return list
 }
 
-// withoutLeaving drops leaving nodes, but not the last ones: they still serve for a while.
-func withoutLeaving(nodes []Node) []Node {
+// excludeLeaving returns the nodes that are not leaving, or all nodes if all are leaving, since these still serve for a while.
+func excludeLeaving(nodes []Node) []Node {
 	var staying []Node
 
 	for _, n := range nodes {
@@ -151,66 +150,66 @@
 	return staying
 }
 
-// draw gives each node its random key and sorts by it. A node with half the room gets half the callers.
-func (l *Lister) draw(nodes []Node) []*candidate {
+// shuffle returns the nodes in a weighted random order. A node with half the free capacity of another gets half as many callers.
+func (l *Lister) shuffle(nodes []Node) []*candidate {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
 	candidates := make([]*candidate, 0, len(nodes))
 	for _, n := range nodes {
-		candidates = append(candidates, &candidate{Node: n, key: l.random.ExpFloat64() / room(n.LoadPercent), steered: l.steers(n.LoadPercent)})
+		candidates = append(candidates, &candidate{Node: n, sortKey: l.random.ExpFloat64() / freeFraction(n.LoadPercent), mayPrefer: l.isSteeredToLocked(n.LoadPercent)})
 	}
 
-	slices.SortFunc(candidates, func(a, b *candidate) int { return cmp.Compare(a.key, b.key) })
+	slices.SortFunc(candidates, func(a, b *candidate) int { return cmp.Compare(a.sortKey, b.sortKey) })
 
 	return candidates
 }
 
-// steers says whether a holder with this load is to get one more caller.
+// isSteeredToLocked reports whether a holder with the given load should be preferred for one more caller.
 //
-// All callers of a service at its holder would be the least messages, but a
-// service with more callers than its holder has places would fill it, and the
-// holder would refuse them, and those of its other services, while others
-// idle. A single threshold would send all callers to and fro, since loads are
-// seconds old and answers kept longer; so their share falls with the load, and
-// the load settles where the share fits. The caller holds l.mu.
-func (l *Lister) steers(load int) bool {
-	below, none := l.options.FullSteeringLoad, l.options.NoSteeringLoad
-	if load < below {
+// Steering all callers of a service to its holder needs the fewest messages between nodes. However, a service with more requests than
+// its holder can run at once would fill the holder, which would then refuse them and those of its other services while other
+// nodes idle. With a single threshold, all callers would oscillate between the holder and other nodes, because loads are
+// seconds old and lists are used even longer. The share of steered callers therefore falls as the load rises, and the load
+// reaches an equilibrium. The caller holds l.mu.
+func (l *Lister) isSteeredToLocked(load int) bool {
+	full, none := l.options.FullSteeringLoad, l.options.NoSteeringLoad
+	if load < full {
 		return true
 	}
 
-	return load < none && l.random.IntN(none-below) < none-load
+	return load < none && l.random.IntN(none-full) < none-load
 }
 
-// room is the part of a node that is free. A full node keeps a little, since its load is old by seconds.
-func room(load int) float64 {
-	return math.Max(float64(100-load)/100, leastRoom)
+// freeFraction returns the free fraction of a node's capacity. It is greater than 0 for a full node, since the load is seconds old.
+func freeFraction(load int) float64 {
+	return math.Max(float64(100-load)/100, minFreeFraction)
 }
 
-// prefer picks up to half of the answer: nodes that hold the service's pools, else nodes of the caller's failure domain.
-func (l *Lister) prefer(caller Caller, candidates []*candidate) []*candidate {
+// choosePreferred chooses up to half of the list: holders of the service's pools, then nodes in the caller's failure domain.
+func (l *Lister) choosePreferred(caller Caller, candidates []*candidate) []*candidate {
 	var holders []string
 	if caller.Service != "" && l.options.Holders != nil {
 		holders = l.options.Holders.HoldersOf(caller.Service)
 	}
 
-	held := func(c *candidate) bool { return c.steered && slices.Contains(holders, c.Name) }
-	near := func(c *candidate) bool { return caller.FailureDomain != "" && c.FailureDomain == caller.FailureDomain }
+	isHolder := func(c *candidate) bool { return c.mayPrefer && slices.Contains(holders, c.Name) }
+	isLocal := func(c *candidate) bool { return caller.FailureDomain != "" && c.FailureDomain == caller.FailureDomain }
 
-	chosen := l.take(nil, candidates, func(c *candidate) bool { return held(c) && near(c) })
-	chosen = l.take(chosen, candidates, held)
+	chosen := l.appendMatching(nil, candidates, func(c *candidate) bool { return isHolder(c) && isLocal(c) })
+	chosen = l.appendMatching(chosen, candidates, isHolder)
 
-	return l.take(chosen, candidates, near)
+	return l.appendMatching(chosen, candidates, isLocal)
 }
 
-func (l *Lister) take(chosen, candidates []*candidate, fits func(*candidate) bool) []*candidate {
+// appendMatching appends matching candidates that are neither suspect nor chosen, until half of the list is filled.
+func (l *Lister) appendMatching(chosen, candidates []*candidate, matches func(*candidate) bool) []*candidate {
 	for _, c := range candidates {
 		if len(chosen) >= max(l.options.MaxEntries/2, 1) {
 			break
 		}
 
-		if c.Suspect || !fits(c) || slices.Contains(chosen, c) {
+		if c.Suspect || !matches(c) || slices.Contains(chosen, c) {
 			continue
 		}
 
@@ -220,8 +219,8 @@
 	return chosen
 }
 
-// spread orders the rest so that failure domains alternate, those not yet chosen first.
-func spread(candidates, chosen []*candidate) []*candidate {
+// alternateDomains returns the other candidates in an order that alternates between failure domains, those not yet chosen first.
+func alternateDomains(candidates, chosen []*candidate) []*candidate {
 	ranks := make(map[string]int)
 	for _, c := range chosen {
 		ranks[c.FailureDomain]++
@@ -229,14 +228,14 @@
 
 	var rest []*candidate
 
-	// Suspects rank behind: they must not take their domain's place from a node that answers.
+	// Suspects are ranked last, so that they do not take the first position of their domain from a node that responds.
 	for _, suspect := range []bool{false, true} {
 		for _, c := range candidates {
 			if c.Suspect != suspect || slices.Contains(chosen, c) {
 				continue
 			}
 
-			c.rank = ranks[c.FailureDomain]
+			c.domainRank = ranks[c.FailureDomain]
 			ranks[c.FailureDomain]++
 			rest = append(rest, c)
 		}
@@ -244,16 +243,17 @@
 
 	slices.SortStableFunc(rest, func(a, b *candidate) int {
 		if a.Suspect != b.Suspect {
-			return compareBool(a.Suspect, b.Suspect)
+			return falseFirst(a.Suspect, b.Suspect)
 		}
 
-		return a.rank - b.rank
+		return a.domainRank - b.domainRank
 	})
 
 	return rest
 }
 
-func compareBool(a, b bool) int {
+// falseFirst compares a and b so that false sorts before true.
+func falseFirst(a, b bool) int {
 	switch {
 	case a == b:
 		return 0
--- a/internal/lister/lister_test.go
+++ b/internal/lister/lister_test.go
@@ -12,7 +12,7 @@
 	"quincepath.example/quincepath/internal/lister"
 )
 
-func nodes(count, domains int) []lister.Node {
+func newNodes(count, domains int) []lister.Node {
 	list := make([]lister.Node, 0, count)
 	for i := range count {
 		list = append(list, lister.Node{
@@ -25,9 +25,9 @@
 	return list
 }
 
-type holders map[string][]string
+type holderMap map[string][]string
 
-func (h holders) HoldersOf(service string) []string { return h[service] }
+func (h holderMap) HoldersOf(service string) []string { return h[service] }
 
 func TestLister_Balance(t *testing.T) {
 	const callers = 5000
@@ -35,7 +35,7 @@
 	for _, count := range []int{3, 9, 30, 100, 370} {
 		l := lister.New(lister.Options{EntryLifetime: 10 * time.Second, Seed: 1})
 		first := make(map[string]int)
-		list := nodes(count, min(count, 12))
+		list := newNodes(count, min(count, 12))
 
 		for range callers {
 			first[l.List(lister.Caller{}, list).Entries[0].Node]++
@@ -46,7 +46,7 @@
 
 		for _, n := range list {
 			largest = max(largest, first[n.Name])
-			// Five standard deviations of a fair draw.
+			// Five standard deviations of a uniform distribution of callers.
 			assert.Assert(t, math.Abs(float64(first[n.Name])-share) < 5*math.Sqrt(share)+1, "%d nodes: %s", count, n.Name)
 		}
 
@@ -56,7 +56,7 @@
 
 func TestLister_LoadedNodesGetFewerCallers(t *testing.T) {
 	l := lister.New(lister.Options{Seed: 1})
-	list := nodes(3, 3)
+	list := newNodes(3, 3)
 	list[0].LoadPercent = 75
 	first := make(map[string]int)
 
@@ -64,48 +64,47 @@
 		first[l.List(lister.Caller{}, list).Entries[0].Node]++
 	}
 
-	// A quarter of the room beside two whole ones: a ninth of the callers.
+	// A quarter of the capacity is free, and all of it at the other two nodes: one in nine callers.
 	assert.Assert(t, math.Abs(float64(first["entry-000"])-1000) < 150)
 }
 
 func TestLister_Steering(t *testing.T) {
-	l := lister.New(lister.Options{Seed: 1, Holders: holders{"assistente": {"entry-004", "entry-007"}}})
+	l := lister.New(lister.Options{Seed: 1, Holders: holderMap{"assistente": {"entry-004", "entry-007"}}})
 
 	for _, tt := range []struct {
-		name  string
-		ask   lister.Caller
-		first []string
+		name   string
+		caller lister.Caller
+		first  []string
 	}{
-		{name: "holders first", ask: lister.Caller{Service: "assistente"}, first: []string{"entry-004", "entry-007"}},
-		{name: "a holder in the caller's domain before others", ask: lister.Caller{Service: "assistente", FailureDomain: "domain-1"}, first: []string{"entry-004", "entry-007"}},
-		{name: "the caller's domain", ask: lister.Caller{FailureDomain: "domain-2"}, first: []string{"entry-002", "entry-005", "entry-008"}},
+		{name: "holders first", caller: lister.Caller{Service: "assistente"}, first: []string{"entry-004", "entry-007"}},
+		{name: "a holder in the caller's domain before others", caller: lister.Caller{Service: "assistente", FailureDomain: "domain-1"}, first: []string{"entry-004", "entry-007"}},
+		{name: "the caller's domain", caller: lister.Caller{FailureDomain: "domain-2"}, first: []string{"entry-002", "entry-005", "entry-008"}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			for range 50 {
-				answer := l.List(tt.ask, nodes(9, 3))
+				list := l.List(tt.caller, newNodes(9, 3))
 				seen := make(map[string]bool)
 
-				for _, e := range answer.Entries[:len(tt.first)] {
+				for _, e := range list.Entries[:len(tt.first)] {
 					seen[e.Node] = true
 				}
 
 				for _, name := range tt.first {
-					assert.Assert(t, seen[name], "%v", answer.Entries)
+					assert.Assert(t, seen[name], "%v", list.Entries)
 				}
 			}
 		})
 	}
 }
 
-// Symptom: a caller that kept its answer has no address left when its failure domain goes.
-// Sequence: the caller asks with its own domain; the answer names only that domain; the domain fails.
-// Cause: an order by nearness without a bound.
+// A caller states its failure domain, and then that domain fails. If the list contained only nodes near the caller, it would have no
+// address left.
 func TestLister_AnswerOutlivesOneDomain(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		domains := rapid.IntRange(2, 12).Draw(t, "domains")
 		count := rapid.IntRange(domains, 60).Draw(t, "nodes")
-		l := lister.New(lister.Options{Seed: rapid.Uint64().Draw(t, "seed"), Holders: holders{"s": {"entry-000", "entry-001"}}})
-		list := nodes(count, domains)
+		l := lister.New(lister.Options{Seed: rapid.Uint64().Draw(t, "seed"), Holders: holderMap{"s": {"entry-000", "entry-001"}}})
+		list := newNodes(count, domains)
 
 		for i := range list {
 			list[i].LoadPercent = rapid.IntRange(0, 150).Draw(t, "load")
@@ -114,15 +113,15 @@
 		}
 
 		answer := l.List(lister.Caller{Service: "s", FailureDomain: "domain-0"}, list)
-		possible := domainsOf(list)
-		given := make(map[string]bool)
+		usable := usableDomains(list)
+		listed := make(map[string]bool)
 		names := make(map[string]bool)
 
 		for _, e := range answer.Entries {
-			given[e.FailureDomain] = true
+			listed[e.FailureDomain] = true
 
 			if names[e.Node] {
-				t.Fatalf("%s stands twice", e.Node)
+				t.Fatalf("%s is listed twice", e.Node)
 			}
 
 			names[e.Node] = true
@@ -132,14 +131,14 @@
 			t.Fatalf("%d entries", len(answer.Entries))
 		}
 
-		if len(given) < min(len(possible), 4) {
-			t.Fatalf("%d domains of %d", len(given), len(possible))
+		if len(listed) < min(len(usable), 4) {
+			t.Fatalf("%d of %d failure domains listed", len(listed), len(usable))
 		}
 	})
 }
 
-// domainsOf returns the domains that have a staying node without suspicion.
-func domainsOf(list []lister.Node) map[string]bool {
+// usableDomains returns the failure domains with at least one node that is neither leaving nor suspect.
+func usableDomains(list []lister.Node) map[string]bool {
 	domains := make(map[string]bool)
 
 	for _, n := range list {
@@ -151,12 +150,11 @@
 	return domains
 }
 
-// Symptom: callers connect to a node that is about to stop, or that no longer answers.
-// Sequence: the node announces its leaving, or peers suspect it; a caller asks.
-// Cause: an answer made from all nodes alike.
+// A node announces that it is leaving, or peers suspect it, and then a caller asks for entries. If all nodes were listed alike,
+// callers would connect to a node that is about to stop or no longer responds.
 func TestLister_LeavingAndSuspect(t *testing.T) {
 	l := lister.New(lister.Options{Seed: 1})
-	list := nodes(6, 3)
+	list := newNodes(6, 3)
 	list[1].Leaving = true
 	list[2].Suspect = true
 
@@ -171,12 +169,11 @@
 	}
 }
 
-// Symptom: a caller gets an empty list although nodes still serve.
-// Sequence: all nodes are in a planned stop, as when a whole site is replaced.
-// Cause: leaving nodes left out without regard to what remains.
+// All nodes are shutting down, for example because a whole site is replaced. If leaving nodes were always omitted, callers would get an
+// empty list although the nodes still serve.
 func TestLister_AllLeaving(t *testing.T) {
 	l := lister.New(lister.Options{Seed: 1})
-	list := nodes(2, 2)
+	list := newNodes(2, 2)
 	list[0].Leaving = true
 	list[1].Leaving = true
 
@@ -185,7 +182,7 @@
 
 func BenchmarkLister_List(b *testing.B) {
 	l := lister.New(lister.Options{Seed: 1})
-	list := nodes(370, 12)
+	list := newNodes(370, 12)
 
 	for b.Loop() {
 		l.List(lister.Caller{FailureDomain: "domain-3"}, list)
--- a/internal/lister/steering_test.go
+++ b/internal/lister/steering_test.go
@@ -11,93 +11,94 @@
 	"quincepath.example/quincepath/internal/lister"
 )
 
-// A tenth of the size to design for, see docs/CAPACITY.md.
+// The fleet has a tenth of the design size, see docs/CAPACITY.md.
 const (
-	fleetNodes      = 37
-	fleetServices   = 11
-	fleetRate       = 2800.0
-	answerSeconds   = 13.9
-	callersOfOne    = 40
-	keptSeconds     = 10
-	reportedSeconds = 2
+	fleetNodes             = 37
+	fleetServices          = 11
+	requestsPerSecond      = 2800.0
+	responseSeconds        = 13.9
+	callersPerService      = 40
+	entryLifetimeSeconds   = 10
+	loadReportDelaySeconds = 2
 )
 
-// crowd is a fleet in steps of a second: each caller has a fixed rate and keeps
-// its entry, and a node's requests end after a mean time.
-type crowd struct {
-	list    *lister.Lister
-	nodes   []lister.Node
-	held    holders
-	entry   [fleetServices][callersOfOne]int
-	inside  [fleetNodes]float64
-	places  float64
-	reports [][fleetNodes]float64
+// fleetModel models a fleet in steps of one second. Each caller sends requests at a fixed rate to its entry, which it keeps for
+// entryLifetimeSeconds. A request takes responseSeconds on average.
+type fleetModel struct {
+	lister      *lister.Lister
+	nodes       []lister.Node
+	holders     holderMap
+	entryOf     [fleetServices][callersPerService]int
+	inFlight    [fleetNodes]float64
+	capacity    float64
+	loadReports [][fleetNodes]float64
 }
 
-func newCrowd(options lister.Options, places float64) *crowd {
-	c := &crowd{places: places, nodes: nodes(fleetNodes, 12), held: holders{}}
+func newFleetModel(options lister.Options, capacity float64) *fleetModel {
+	m := &fleetModel{capacity: capacity, nodes: newNodes(fleetNodes, 12), holders: holderMap{}}
 
 	names := make([]string, 0, fleetNodes)
-	for _, n := range c.nodes {
+	for _, n := range m.nodes {
 		names = append(names, n.Name)
 	}
 
-	// As holders are placed: at most one pool a node at this size.
+	// As in production, a node holds at most one pool at this size.
 	for s := range fleetServices {
 		for part := range 2 {
 			holder := chooser.New(names).Choose(fmt.Sprint(s, "#", part))
 			names = slices.DeleteFunc(names, func(n string) bool { return n == holder })
-			c.held[fmt.Sprint(s)] = append(c.held[fmt.Sprint(s)], holder)
+			m.holders[fmt.Sprint(s)] = append(m.holders[fmt.Sprint(s)], holder)
 		}
 	}
 
-	options.Holders, options.Seed = c.held, 1
-	c.list = lister.New(options)
+	options.Holders, options.Seed = m.holders, 1
+	m.lister = lister.New(options)
 
-	return c
+	return m
 }
 
-// second moves on by one and returns the shares of requests at a holder and beyond a node's places.
-func (c *crowd) second(now int) (steered, refused float64) {
-	const rate = fleetRate / fleetServices / callersOfOne
+// step advances the model by one second. It returns the share of requests that arrive at a holder, and the share that exceeds the
+// capacity of a node.
+func (m *fleetModel) step(now int) (steered, refused float64) {
+	const rate = requestsPerSecond / fleetServices / callersPerService
 
-	c.reports = append(c.reports, c.inside)
+	m.loadReports = append(m.loadReports, m.inFlight)
 
-	for i, inside := range c.reports[max(0, now-reportedSeconds)] {
-		c.nodes[i].LoadPercent = int(100 * inside / c.places)
-		c.inside[i] -= c.inside[i] / answerSeconds
+	for i, inFlight := range m.loadReports[max(0, now-loadReportDelaySeconds)] {
+		m.nodes[i].LoadPercent = int(100 * inFlight / m.capacity)
+		m.inFlight[i] -= m.inFlight[i] / responseSeconds
 	}
 
-	for s := range c.entry {
+	for s := range m.entryOf {
 		service := fmt.Sprint(s)
 
-		for caller := range c.entry[s] {
-			if now == 0 || (now+caller)%keptSeconds == 0 {
-				first := c.list.List(lister.Caller{Service: service}, c.nodes).Entries[0].Node
-				c.entry[s][caller] = slices.IndexFunc(c.nodes, func(n lister.Node) bool { return n.Name == first })
+		for caller := range m.entryOf[s] {
+			if now == 0 || (now+caller)%entryLifetimeSeconds == 0 {
+				first := m.lister.List(lister.Caller{Service: service}, m.nodes).Entries[0].Node
+				m.entryOf[s][caller] = slices.IndexFunc(m.nodes, func(n lister.Node) bool { return n.Name == first })
 			}
 
-			at := c.entry[s][caller]
-			c.inside[at] += rate
+			entry := m.entryOf[s][caller]
+			m.inFlight[entry] += rate
 
-			if slices.Contains(c.held[service], c.nodes[at].Name) {
+			if slices.Contains(m.holders[service], m.nodes[entry].Name) {
 				steered += rate
 			}
 		}
 	}
 
-	for i := range c.inside {
-		refused += max(0, c.inside[i]-c.places)
-		c.inside[i] = min(c.inside[i], c.places)
+	for i := range m.inFlight {
+		refused += max(0, m.inFlight[i]-m.capacity)
+		m.inFlight[i] = min(m.inFlight[i], m.capacity)
 	}
 
-	return steered / fleetRate, refused / fleetRate
+	return steered / requestsPerSecond, refused / requestsPerSecond
 }
 
-// minute returns the means of the second minute.
-func (c *crowd) minute() (steered, refused float64) {
+// run runs the model for two minutes and returns the means of the second minute.
+func (m *fleetModel) run() (steered, refused float64) {
 	for now := range 120 {
-		if s, r := c.second(now); now >= 60 {
+		if s, r := m.step(now); now >= 60 {
 			steered, refused = steered+s/60, refused+r/60
 		}
 	}
@@ -105,18 +106,17 @@
 	return steered, refused
 }
 
-// Symptom: nodes refused requests while others idled. Sequence: callers obey GET
-// /v1/entries; the answers of a pool's requests fill nine tenths of its holder's
-// places. Cause: a holder was named first however full it was.
+// Callers follow GET /v1/entries, and the requests of one pool fill 90% of its holder's capacity. If a holder were listed first
+// regardless of its load, nodes would refuse requests while others idle.
 func TestLister_SteeringLeavesRoom(t *testing.T) {
 	steered := make(map[float64]float64)
 
-	for _, places := range []float64{2000, 3000, 4000} {
+	for _, capacity := range []float64{2000, 3000, 4000} {
 		var refused float64
 
-		for _, below := range []int{1000, 80, 60, 0} {
-			steered[places], refused = newCrowd(lister.Options{FullSteeringLoad: below}, places).minute()
-			t.Logf("%.0f places, steered below %d: %.3f to a holder, %.3f refused", places, below, steered[places], refused)
+		for _, fullSteeringLoad := range []int{1000, 80, 60, 0} {
+			steered[capacity], refused = newFleetModel(lister.Options{FullSteeringLoad: fullSteeringLoad}, capacity).run()
+			t.Logf("capacity %.0f, full steering below %d%%: %.3f to a holder, %.3f refused", capacity, fullSteeringLoad, steered[capacity], refused)
 		}
 
 		assert.Assert(t, refused < 0.001)
