--- a/internal/gateway/membership.go
+++ b/internal/gateway/membership.go
@@ -36,7 +36,7 @@
 	}
 	options.Incarnation = time.Now().UnixMilli()
 	options.Seed = xxhash.Sum64String(node.PeerListen) ^ uint64(time.Now().UnixNano())
-	options.Fill = func() prober.Digest {
+	options.LocalDigest = func() prober.Digest {
 		return prober.Digest{Leaving: n.leavingFor() > 0, Revision: n.catalog.State().Configuration.Version}
 	}
 
@@ -58,7 +58,7 @@
 		})
 	}
 
-	n.prober.List(time.Now(), vms)
+	n.prober.SetListedNodes(time.Now(), vms)
 	n.apportioner.Update(names)
 }
 
--- a/internal/heartbeater/heartbeater_test.go
+++ b/internal/heartbeater/heartbeater_test.go
@@ -52,7 +52,7 @@
 	var running sync.WaitGroup
 
 	for _, n := range nodes {
-		n.prober.List(time.Now(), list)
+		n.prober.SetListedNodes(time.Now(), list)
 		running.Go(func() { assert.Check(t, n.beats.Run(ctx)) })
 	}
 
--- a/internal/prober/codec.go
+++ b/internal/prober/codec.go
@@ -63,11 +63,11 @@
 			return append(sign(c.keys[0], to, body), body...), nil
 		}
 
-		if len(packet.News) == 0 {
+		if len(packet.Updates) == 0 {
 			return nil, ErrTooLarge
 		}
 
-		packet.News = packet.News[:len(packet.News)*3/4]
+		packet.Updates = packet.Updates[:len(packet.Updates)*3/4]
 	}
 }
 
--- a/internal/prober/codec_test.go
+++ b/internal/prober/codec_test.go
@@ -51,7 +51,7 @@
 func TestCodec_LeavesOutNewsThatDoesNotFit(t *testing.T) {
 	packet := prober.Packet{Kind: prober.KindSyncReply, From: "entry-002"}
 	for range 100 {
-		packet.News = append(packet.News, prober.News{Node: "a-rather-long-name-of-a-node", State: prober.Live, Incarnation: processStart})
+		packet.Updates = append(packet.Updates, prober.Update{Node: "a-rather-long-name-of-a-node", State: prober.Live, Incarnation: processStart})
 	}
 
 	c := codec(t, "a")
@@ -61,7 +61,7 @@
 
 	got, err := c.Decode("entry-001", datagram)
 	assert.NilError(t, err)
-	assert.Assert(t, len(got.News) > 5 && len(got.News) < 100)
+	assert.Assert(t, len(got.Updates) > 5 && len(got.Updates) < 100)
 }
 
 // Symptom: a node that came back is held for dead by news of its earlier state.
@@ -70,10 +70,10 @@
 func TestProber_ReplayIsDropped(t *testing.T) {
 	now := time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)
 	p := prober.New(prober.Options{Self: prober.VM{Name: "a"}, Incarnation: 10})
-	p.List(now, []prober.VM{{Name: "b", PeerAddress: "10.0.0.2:1"}, {Name: "c", PeerAddress: "10.0.0.3:1"}})
+	p.SetListedNodes(now, []prober.VM{{Name: "b", PeerAddress: "10.0.0.2:1"}, {Name: "c", PeerAddress: "10.0.0.3:1"}})
 	p.Tick(now)
 
-	probe := prober.Packet{Kind: prober.KindProbe, From: "b", Incarnation: 7, Sequence: 1, Probe: 3}
+	probe := prober.Packet{Kind: prober.KindProbe, From: "b", Incarnation: 7, Sequence: 1, ProbeNumber: 3}
 	assert.Equal(t, len(p.Receive(now, probe)), 1)
 	assert.Equal(t, len(p.Receive(now, probe)), 0)
 
@@ -89,13 +89,13 @@
 	assert.Equal(t, p.Counters().ReplaysDropped, int64(8))
 
 	// A new run starts its numbers again; the earlier run's are then outdated.
-	next := prober.Packet{Kind: prober.KindProbe, From: "b", Incarnation: 9, Sequence: 1, Probe: 3}
+	next := prober.Packet{Kind: prober.KindProbe, From: "b", Incarnation: 9, Sequence: 1, ProbeNumber: 3}
 	assert.Equal(t, len(p.Receive(now, next)), 1)
 
 	probe.Sequence = 500
 	answers := p.Receive(now, probe)
 	assert.Equal(t, p.Counters().OutdatedDropped, int64(1))
-	assert.Equal(t, answers[0].Packet.Doubt, int64(9))
+	assert.Equal(t, answers[0].Packet.RefuteIncarnation, int64(9))
 }
 
 func TestProber_DigestReachesOthers(t *testing.T) {
--- a/internal/prober/fuzz_test.go
+++ b/internal/prober/fuzz_test.go
@@ -32,7 +32,7 @@
 
 		started := time.Unix(0, 0)
 		node := prober.New(options)
-		node.List(started, []prober.VM{{Name: "node-1"}, {Name: "node-2", PeerAddress: "127.0.0.1:2"}, {Name: "node-3"}})
+		node.SetListedNodes(started, []prober.VM{{Name: "node-1"}, {Name: "node-2", PeerAddress: "127.0.0.1:2"}, {Name: "node-3"}})
 		node.Tick(started)
 		node.Receive(started, packet)
 		node.Tick(started.Add(time.Second))
--- a/internal/prober/member.go
+++ b/internal/prober/member.go
@@ -75,7 +75,7 @@
 
 	p.names = slices.DeleteFunc(p.names, func(name string) bool {
 		m := p.members[name]
-		if m.State != Dead || m.Listed || now.Sub(m.Since) < p.options.DeadKeep {
+		if m.State != Dead || m.Listed || now.Sub(m.Since) < p.options.DeadRetention {
 			return false
 		}
 
@@ -102,7 +102,7 @@
 	m.State = state
 	m.Since = now
 	m.suspectedBy = nil
-	m.Silent = false
+	m.LocalSuspicion = false
 	p.changes = append(p.changes, m.view())
 
 	return true
@@ -124,8 +124,8 @@
 
 	// The exponent is bounded before the multiplication so that it can't overflow.
 	factor := math.Exp2(min(math.Round(m.penalty)-2, maxDoublings))
-	hold := time.Duration(float64(p.options.HoldTime) * max(factor, 1))
-	m.HeldUntil = now.Add(min(hold, p.options.HoldMax))
+	hold := time.Duration(float64(p.options.SuppressTime) * max(factor, 1))
+	m.SuppressedUntil = now.Add(min(hold, p.options.MaxSuppressTime))
 }
 
 // pick returns up to count random members that may answer, without the named one.
--- a/internal/prober/network_test.go
+++ b/internal/prober/network_test.go
@@ -146,10 +146,10 @@
 	options.Self = n.vm
 	options.Incarnation = incarnation
 	options.Seed = w.random.Uint64()
-	options.Fill = func() prober.Digest { return n.digest }
-	options.Observe = func(from string, d prober.Digest) { n.heard[from] = d }
+	options.LocalDigest = func() prober.Digest { return n.digest }
+	options.OnDigest = func(from string, d prober.Digest) { n.heard[from] = d }
 	n.prober = prober.New(options)
-	n.prober.List(w.now, list)
+	n.prober.SetListedNodes(w.now, list)
 	w.tick(n, n.run)
 }
 
--- a/internal/prober/news.go
+++ b/internal/prober/news.go
@@ -10,7 +10,7 @@
 
 // queuedNews is news that is still to be sent.
 type queuedNews struct {
-	news News
+	news Update
 	sent int
 }
 
@@ -83,7 +83,7 @@
 }
 
 // apply takes in news from a peer. News that is spread on goes into the own queue as well.
-func (p *Prober) apply(now time.Time, v News, spread bool) {
+func (p *Prober) apply(now time.Time, v Update, spread bool) {
 	if v.Node == p.self.Name {
 		p.answerNewsOfSelf(v)
 
@@ -137,7 +137,7 @@
 }
 
 // recordDead records that a peer holds a member for dead.
-func (p *Prober) recordDead(now time.Time, m *member, v News, spread bool) {
+func (p *Prober) recordDead(now time.Time, m *member, v Update, spread bool) {
 	if v.Incarnation < m.Incarnation {
 		return
 	}
@@ -150,7 +150,7 @@
 }
 
 // answerNewsOfSelf answers news about this node itself.
-func (p *Prober) answerNewsOfSelf(v News) {
+func (p *Prober) answerNewsOfSelf(v Update) {
 	if v.State == Live {
 		if v.Incarnation > p.self.Incarnation {
 			p.raiseIncarnation(v.Incarnation)
@@ -163,7 +163,7 @@
 }
 
 func (p *Prober) enqueueSelf() {
-	v := News{Node: p.self.Name, State: Live, Incarnation: p.self.Incarnation, Leaving: p.self.Leaving}
+	v := Update{Node: p.self.Name, State: Live, Incarnation: p.self.Incarnation, Leaving: p.self.Leaving}
 	if !p.self.Listed {
 		v.VM = p.selfVM()
 	}
@@ -175,8 +175,8 @@
 	p.replaceNews(p.newsOf(m, by))
 }
 
-func (p *Prober) newsOf(m *member, by string) News {
-	v := News{Node: m.Name, State: m.State, Incarnation: m.Incarnation, Leaving: m.toldLeaving, By: by}
+func (p *Prober) newsOf(m *member, by string) Update {
+	v := Update{Node: m.Name, State: m.State, Incarnation: m.Incarnation, Leaving: m.toldLeaving, By: by}
 	if !m.Listed && m.PeerAddress != "" {
 		v.VM = m.vm()
 	}
@@ -185,22 +185,22 @@
 }
 
 // replaceNews queues news in place of older news about the same node.
-func (p *Prober) replaceNews(v News) {
+func (p *Prober) replaceNews(v Update) {
 	p.news = slices.DeleteFunc(p.news, func(q *queuedNews) bool { return q.news.Node == v.Node })
 	p.news = append(p.news, &queuedNews{news: v})
 }
 
 // takeNews returns the news for one packet, those sent least first, and drops what was sent often enough.
-func (p *Prober) takeNews() []News {
+func (p *Prober) takeNews() []Update {
 	if len(p.news) == 0 {
 		return nil
 	}
 
 	slices.SortStableFunc(p.news, func(a, b *queuedNews) int { return a.sent - b.sent })
 
-	var taken []News
+	var taken []Update
 
-	room := p.options.NewsPerPacket
+	room := p.options.UpdatesPerPacket
 
 	for _, q := range p.news {
 		room -= weight(q.news)
@@ -218,7 +218,7 @@
 	return taken
 }
 
-func weight(v News) int {
+func weight(v Update) int {
 	if v.VM != nil {
 		return addressedWeight
 	}
@@ -232,12 +232,12 @@
 
 // send completes a packet and puts it into the outbox.
 func (p *Prober) send(now time.Time, to *member, packet Packet) {
-	if to.State == Dead || to.State == Suspect && !to.Silent {
-		packet.Doubt = to.Incarnation
+	if to.State == Dead || to.State == Suspect && !to.LocalSuspicion {
+		packet.RefuteIncarnation = to.Incarnation
 	}
 
-	if packet.News == nil {
-		packet.News = p.takeNews()
+	if packet.Updates == nil {
+		packet.Updates = p.takeNews()
 	}
 
 	p.post(now, to, packet)
@@ -245,7 +245,7 @@
 
 // sendDoubting tells a member which incarnation it must exceed.
 func (p *Prober) sendDoubting(now time.Time, to *member, doubt int64) {
-	p.post(now, to, Packet{Kind: KindDigest, Doubt: doubt})
+	p.post(now, to, Packet{Kind: KindDigest, RefuteIncarnation: doubt})
 }
 
 func (p *Prober) post(now time.Time, to *member, packet Packet) {
@@ -260,7 +260,7 @@
 	packet.Digest = p.digest
 	packet.Digest.Leaving = p.self.Leaving
 
-	if packet.Kind == KindSync || now.Sub(p.started) < p.options.IntroduceTime {
+	if packet.Kind == KindSync || now.Sub(p.started) < p.options.AddressAnnounceTime {
 		packet.VM = p.selfVM()
 	}
 
--- a/internal/prober/options.go
+++ b/internal/prober/options.go
@@ -25,51 +25,51 @@
 	IndirectTimeout time.Duration
 	// IndirectProbes is the number of peers asked.
 	IndirectProbes int
-	// SuspicionTime is the shortest time for a refutation in a fleet of up to 10 nodes; it grows by the logarithm.
-	SuspicionTime time.Duration
-	// FrozenAfter is the delay of an own tick after which the node doubts itself.
-	FrozenAfter time.Duration
+	// MinSuspicionTimeout is the shortest time for a refutation in a fleet of up to 10 nodes; it grows by the logarithm.
+	MinSuspicionTimeout time.Duration
+	// FreezeThreshold is the delay of an own tick after which the node doubts itself.
+	FreezeThreshold time.Duration
 	// DeadProbePeriod is the time between two probes of dead nodes that the list still names.
 	DeadProbePeriod time.Duration
-	// DeadKeep is how long a dead node that no list names is remembered.
-	DeadKeep time.Duration
-	// HoldTime keeps a node that returned twice within PenaltyHalfLife out of Live; it doubles with each return up to HoldMax.
-	HoldTime        time.Duration
-	HoldMax         time.Duration
+	// DeadRetention is how long a dead node that no list names is remembered.
+	DeadRetention time.Duration
+	// SuppressTime keeps a node that returned twice within PenaltyHalfLife out of Live; it doubles with each return up to HoldMax.
+	SuppressTime    time.Duration
+	MaxSuppressTime time.Duration
 	PenaltyHalfLife time.Duration
-	// IntroduceTime is how long after its start a node tells its addresses in each packet.
-	IntroduceTime time.Duration
-	// NewsPerPacket bounds the news in a packet; one with addresses counts as three.
-	NewsPerPacket int
-	// Retransmissions times the logarithm of the node count bounds how often one piece of news is sent.
-	Retransmissions int
+	// AddressAnnounceTime is how long after its start a node tells its addresses in each packet.
+	AddressAnnounceTime time.Duration
+	// UpdatesPerPacket bounds the news in a packet; one with addresses counts as three.
+	UpdatesPerPacket int
+	// RetransmitMultiplier times the logarithm of the node count bounds how often one piece of news is sent.
+	RetransmitMultiplier int
 
-	// Fill returns the digest to send; nil sends an empty one. It is called without locks.
-	Fill func() Digest
-	// Observe receives the digest of each packet accepted; nil ignores it. It is called without locks.
-	Observe func(from string, digest Digest)
-	// Changed receives each member whose state changed; nil ignores it. It is called without locks.
-	Changed func(member Member)
+	// LocalDigest returns the digest to send; nil sends an empty one. It is called without locks.
+	LocalDigest func() Digest
+	// OnDigest receives the digest of each packet accepted; nil ignores it. It is called without locks.
+	OnDigest func(from string, digest Digest)
+	// OnStateChange receives each member whose state changed; nil ignores it. It is called without locks.
+	OnStateChange func(member Member)
 }
 
 // DefaultOptions returns the parameters that the measurements in the tests argue for.
 func DefaultOptions() Options {
 	return Options{
-		Period:          500 * time.Millisecond,
-		ProbesPerPeriod: 1,
-		AckTimeout:      150 * time.Millisecond,
-		IndirectTimeout: 300 * time.Millisecond,
-		IndirectProbes:  3,
-		SuspicionTime:   time.Second,
-		FrozenAfter:     time.Second,
-		DeadProbePeriod: 5 * time.Second,
-		DeadKeep:        time.Minute,
-		HoldTime:        4 * time.Second,
-		HoldMax:         time.Minute,
-		PenaltyHalfLife: 5 * time.Minute,
-		IntroduceTime:   30 * time.Second,
-		NewsPerPacket:   12,
-		Retransmissions: 4,
+		Period:               500 * time.Millisecond,
+		ProbesPerPeriod:      1,
+		AckTimeout:           150 * time.Millisecond,
+		IndirectTimeout:      300 * time.Millisecond,
+		IndirectProbes:       3,
+		MinSuspicionTimeout:  time.Second,
+		FreezeThreshold:      time.Second,
+		DeadProbePeriod:      5 * time.Second,
+		DeadRetention:        time.Minute,
+		SuppressTime:         4 * time.Second,
+		MaxSuppressTime:      time.Minute,
+		PenaltyHalfLife:      5 * time.Minute,
+		AddressAnnounceTime:  30 * time.Second,
+		UpdatesPerPacket:     12,
+		RetransmitMultiplier: 4,
 	}
 }
 
@@ -79,14 +79,14 @@
 		{&o.Period, &defaults.Period},
 		{&o.AckTimeout, &defaults.AckTimeout},
 		{&o.IndirectTimeout, &defaults.IndirectTimeout},
-		{&o.SuspicionTime, &defaults.SuspicionTime},
-		{&o.FrozenAfter, &defaults.FrozenAfter},
+		{&o.MinSuspicionTimeout, &defaults.MinSuspicionTimeout},
+		{&o.FreezeThreshold, &defaults.FreezeThreshold},
 		{&o.DeadProbePeriod, &defaults.DeadProbePeriod},
-		{&o.DeadKeep, &defaults.DeadKeep},
-		{&o.HoldTime, &defaults.HoldTime},
-		{&o.HoldMax, &defaults.HoldMax},
+		{&o.DeadRetention, &defaults.DeadRetention},
+		{&o.SuppressTime, &defaults.SuppressTime},
+		{&o.MaxSuppressTime, &defaults.MaxSuppressTime},
 		{&o.PenaltyHalfLife, &defaults.PenaltyHalfLife},
-		{&o.IntroduceTime, &defaults.IntroduceTime},
+		{&o.AddressAnnounceTime, &defaults.AddressAnnounceTime},
 	} {
 		if *d.value <= 0 {
 			*d.value = *d.fallback
@@ -96,8 +96,8 @@
 	for _, d := range []struct{ value, fallback *int }{
 		{&o.ProbesPerPeriod, &defaults.ProbesPerPeriod},
 		{&o.IndirectProbes, &defaults.IndirectProbes},
-		{&o.NewsPerPacket, &defaults.NewsPerPacket},
-		{&o.Retransmissions, &defaults.Retransmissions},
+		{&o.UpdatesPerPacket, &defaults.UpdatesPerPacket},
+		{&o.RetransmitMultiplier, &defaults.RetransmitMultiplier},
 	} {
 		if *d.value <= 0 {
 			*d.value = *d.fallback
@@ -110,10 +110,10 @@
 // suspicionTime is the shortest time until a suspect counts as dead among n nodes.
 // News needs a number of rounds that grows with the logarithm of n to reach the suspect and return.
 func (o Options) suspicionTime(n int) time.Duration {
-	return time.Duration(float64(o.SuspicionTime) * max(1, math.Log10(float64(max(n, 1)))))
+	return time.Duration(float64(o.MinSuspicionTimeout) * max(1, math.Log10(float64(max(n, 1)))))
 }
 
 // transmissions is how often one piece of news is sent among n nodes.
 func (o Options) transmissions(n int) int {
-	return int(math.Ceil(float64(o.Retransmissions) * math.Log10(float64(n)+1)))
+	return int(math.Ceil(float64(o.RetransmitMultiplier) * math.Log10(float64(n)+1)))
 }
--- a/internal/prober/prober.go
+++ b/internal/prober/prober.go
@@ -103,8 +103,8 @@
 	messages, changes, accepted := p.receive(now, packet, digest)
 	p.tell(changes)
 
-	if accepted && p.options.Observe != nil {
-		p.options.Observe(packet.From, packet.Digest)
+	if accepted && p.options.OnDigest != nil {
+		p.options.OnDigest(packet.From, packet.Digest)
 	}
 
 	return messages
@@ -122,9 +122,9 @@
 		return p.takeOutbox(), p.takeChanges(), false
 	}
 
-	p.refute(packet.Doubt)
+	p.refute(packet.RefuteIncarnation)
 
-	for _, v := range packet.News {
+	for _, v := range packet.Updates {
 		p.apply(now, v, packet.Kind != KindSyncReply)
 	}
 
@@ -137,10 +137,10 @@
 func (p *Prober) answer(now time.Time, sender *member, packet Packet) {
 	switch packet.Kind {
 	case KindProbe:
-		p.send(now, sender, Packet{Kind: KindAck, Probe: packet.Probe})
+		p.send(now, sender, Packet{Kind: KindAck, ProbeNumber: packet.ProbeNumber})
 	case KindAck:
 		p.acknowledge(now, sender, packet)
-	case KindAsk:
+	case KindIndirectProbe:
 		p.relay(now, sender, packet)
 	case KindSync:
 		p.sendSyncReply(now, sender, packet.Target)
@@ -150,9 +150,9 @@
 	}
 }
 
-// List takes in what the platform's list or the settings say about who may exist.
+// SetListedNodes takes in what the platform's list or the settings say about who may exist.
 // An empty list says nothing. A member that the list lacks stays as long as it answers.
-func (p *Prober) List(now time.Time, list []VM) {
+func (p *Prober) SetListedNodes(now time.Time, list []VM) {
 	if len(list) == 0 {
 		return
 	}
@@ -276,9 +276,9 @@
 
 	return slices.DeleteFunc(members, func(m Member) bool {
 		proven := m.Incarnation > 0 && (m.State == Live || m.State == Suspect)
-		silent := m.Silent && now.Sub(m.Since) > patience
+		silent := m.LocalSuspicion && now.Sub(m.Since) > patience
 
-		return !proven || silent || now.Before(m.HeldUntil)
+		return !proven || silent || now.Before(m.SuppressedUntil)
 	})
 }
 
@@ -320,20 +320,20 @@
 }
 
 func (p *Prober) fill() Digest {
-	if p.options.Fill == nil {
+	if p.options.LocalDigest == nil {
 		return Digest{}
 	}
 
-	return p.options.Fill()
+	return p.options.LocalDigest()
 }
 
 func (p *Prober) tell(changes []Member) {
-	if p.options.Changed == nil {
+	if p.options.OnStateChange == nil {
 		return
 	}
 
 	for _, m := range changes {
-		p.options.Changed(m)
+		p.options.OnStateChange(m)
 	}
 }
 
--- a/internal/prober/probing.go
+++ b/internal/prober/probing.go
@@ -55,7 +55,7 @@
 	}
 
 	if m := p.nextSuspect(); m != nil {
-		p.startProbe(now, m, m.Silent)
+		p.startProbe(now, m, m.LocalSuspicion)
 	}
 
 	if !now.Before(p.nextDeadProbe) {
@@ -149,7 +149,7 @@
 		indirect: indirect,
 	})
 	p.counters.ProbesSent++
-	p.send(now, m, Packet{Kind: KindProbe, Probe: p.probe})
+	p.send(now, m, Packet{Kind: KindProbe, ProbeNumber: p.probe})
 }
 
 // expireProbes asks others about silent targets and fails probes without any answer.
@@ -181,7 +181,7 @@
 func (p *Prober) askOthers(now time.Time, probe *pendingProbe) {
 	for _, m := range p.pick(p.options.IndirectProbes, probe.target) {
 		p.counters.IndirectProbes++
-		p.send(now, m, Packet{Kind: KindAsk, Probe: probe.number, Target: probe.target})
+		p.send(now, m, Packet{Kind: KindIndirectProbe, ProbeNumber: probe.number, Target: probe.target})
 	}
 }
 
@@ -212,7 +212,7 @@
 		return
 	}
 
-	at := slices.IndexFunc(p.pending, func(v *pendingProbe) bool { return v.number == packet.Probe })
+	at := slices.IndexFunc(p.pending, func(v *pendingProbe) bool { return v.number == packet.ProbeNumber })
 	if at < 0 {
 		return
 	}
@@ -235,7 +235,7 @@
 		return
 	}
 
-	if m.State == Suspect && m.Silent {
+	if m.State == Suspect && m.LocalSuspicion {
 		p.setState(now, m, Live)
 	}
 
@@ -259,15 +259,15 @@
 	p.relays = append(p.relays, relay{
 		number:       p.probe,
 		origin:       origin.Name,
-		originNumber: packet.Probe,
+		originNumber: packet.ProbeNumber,
 		target:       target.Name,
 		expires:      now.Add(relayKeep),
 	})
-	p.send(now, target, Packet{Kind: KindProbe, Probe: p.probe})
+	p.send(now, target, Packet{Kind: KindProbe, ProbeNumber: p.probe})
 }
 
 func (p *Prober) forwardAck(now time.Time, sender *member, packet Packet) bool {
-	at := slices.IndexFunc(p.relays, func(v relay) bool { return v.number == packet.Probe && v.target == sender.Name })
+	at := slices.IndexFunc(p.relays, func(v relay) bool { return v.number == packet.ProbeNumber && v.target == sender.Name })
 	if at < 0 {
 		return false
 	}
@@ -276,7 +276,7 @@
 	p.relays = slices.Delete(p.relays, at, at+1)
 
 	if origin := p.members[v.origin]; origin != nil {
-		p.send(now, origin, Packet{Kind: KindAck, Probe: v.originNumber, Target: v.target})
+		p.send(now, origin, Packet{Kind: KindAck, ProbeNumber: v.originNumber, Target: v.target})
 	}
 
 	return true
--- a/internal/prober/suspicion.go
+++ b/internal/prober/suspicion.go
@@ -27,7 +27,7 @@
 		p.enqueueSelf()
 	}
 
-	late := !p.lastSeen.IsZero() && now.Sub(p.lastSeen) > p.options.FrozenAfter
+	late := !p.lastSeen.IsZero() && now.Sub(p.lastSeen) > p.options.FreezeThreshold
 	p.lastSeen = now
 
 	if late {
@@ -71,13 +71,13 @@
 		return
 	}
 
-	fresh := incarnation > m.Incarnation || m.State != Suspect || m.Silent
+	fresh := incarnation > m.Incarnation || m.State != Suspect || m.LocalSuspicion
 	m.Incarnation = incarnation
 
 	if fresh {
 		p.setState(now, m, Suspect)
 		m.Since = now
-		m.Silent = false
+		m.LocalSuspicion = false
 		m.suspectedBy = nil
 		p.counters.Suspicions++
 	}
@@ -93,7 +93,7 @@
 // suspectSilently marks a member whose silence may be this node's own fault.
 func (p *Prober) suspectSilently(now time.Time, m *member) {
 	if p.setState(now, m, Suspect) {
-		m.Silent = true
+		m.LocalSuspicion = true
 	}
 }
 
@@ -114,7 +114,7 @@
 
 	for _, name := range p.names {
 		m := p.members[name]
-		if m.State != Suspect || m.Silent || now.Sub(m.Since) < p.suspicionTime(m, least) {
+		if m.State != Suspect || m.LocalSuspicion || now.Sub(m.Since) < p.suspicionTime(m, least) {
 			continue
 		}
 
@@ -135,7 +135,7 @@
 func (p *Prober) silenceSuspicions() {
 	for _, m := range p.members {
 		if m.State == Suspect {
-			m.Silent = true
+			m.LocalSuspicion = true
 			m.suspectedBy = nil
 		}
 	}
--- a/internal/prober/sync.go
+++ b/internal/prober/sync.go
@@ -53,7 +53,7 @@
 		at++
 	}
 
-	page := []News{}
+	page := []Update{}
 	room := newsPerSyncReply
 
 	for _, name := range p.names[at:] {
@@ -76,7 +76,7 @@
 		page = append(page, v)
 	}
 
-	p.send(now, to, Packet{Kind: KindSyncReply, News: page})
+	p.send(now, to, Packet{Kind: KindSyncReply, Updates: page})
 }
 
 func (p *Prober) continueSync(now time.Time, sender *member, packet Packet) {
@@ -84,13 +84,13 @@
 		return
 	}
 
-	if len(packet.News) == 0 {
+	if len(packet.Updates) == 0 {
 		p.sync = syncState{next: now.Add(syncPeriod)}
 
 		return
 	}
 
-	p.sync.cursor = packet.News[len(packet.News)-1].Node
+	p.sync.cursor = packet.Updates[len(packet.Updates)-1].Node
 	p.sync.asked = now
 	p.send(now, sender, Packet{Kind: KindSync, Target: p.sync.cursor})
 }
--- a/internal/prober/types.go
+++ b/internal/prober/types.go
@@ -65,10 +65,10 @@
 	Listed bool
 	// Since is when the present state began.
 	Since time.Time
-	// Silent marks a suspicion that arose while nobody answered this node; it is not passed on and never ends in Dead.
-	Silent bool
-	// HeldUntil keeps a node that died and returned repeatedly out of Live until then.
-	HeldUntil time.Time
+	// LocalSuspicion marks a suspicion that arose while nobody answered this node; it is not passed on and never ends in Dead.
+	LocalSuspicion bool
+	// SuppressedUntil keeps a node that died and returned repeatedly out of Live until then.
+	SuppressedUntil time.Time
 	// DirectFailures counts the last direct probes in a row that only indirect probes answered.
 	DirectFailures int
 	// Digest is the last one received from the node itself.
@@ -83,8 +83,8 @@
 	Load int `json:"l,omitempty"`
 	// Leaving says that the sender is in a planned stop.
 	Leaving bool `json:"v,omitempty"`
-	// Run differs between any two starts of the sender; claims and requests name it.
-	Run string `json:"u,omitempty"`
+	// InstanceID differs between any two starts of the sender; claims and requests name it.
+	InstanceID string `json:"u,omitempty"`
 }
 
 // Kind tells what a packet asks for.
@@ -95,8 +95,8 @@
 	KindProbe Kind = iota + 1
 	// KindAck answers a probe, directly or on behalf of Target.
 	KindAck
-	// KindAsk asks the receiver to probe Target.
-	KindAsk
+	// KindIndirectProbe asks the receiver to probe Target.
+	KindIndirectProbe
 	// KindSync asks for the receiver's members after Target in name order.
 	KindSync
 	// KindSyncReply answers KindSync; without news the list is at its end.
@@ -105,8 +105,8 @@
 	KindDigest
 )
 
-// News is one node's state as passed on between nodes.
-type News struct {
+// Update is one node's state as passed on between nodes.
+type Update struct {
 	Node        string `json:"n"`
 	State       State  `json:"s"`
 	Incarnation int64  `json:"i"`
@@ -126,16 +126,16 @@
 	// Sequence starts at 1 in each run of a node and grows with each datagram to anyone.
 	Incarnation int64  `json:"i"`
 	Sequence    uint64 `json:"s"`
-	// Probe is the number that the ack must repeat.
-	Probe uint64 `json:"p,omitempty"`
+	// ProbeNumber is the number that the ack must repeat.
+	ProbeNumber uint64 `json:"p,omitempty"`
 	// Target is the node that an indirect probe is about, or the cursor of a sync.
 	Target string `json:"a,omitempty"`
-	// Doubt is the receiver's incarnation that the sender holds for suspect, dead or outdated; 0 means none.
-	Doubt  int64  `json:"k,omitempty"`
-	Digest Digest `json:"d"`
+	// RefuteIncarnation is the receiver's incarnation that the sender holds for suspect, dead or outdated; 0 means none.
+	RefuteIncarnation int64  `json:"k,omitempty"`
+	Digest            Digest `json:"d"`
 	// VM introduces the sender.
-	VM   *VM    `json:"m,omitempty"`
-	News []News `json:"n,omitempty"`
+	VM      *VM      `json:"m,omitempty"`
+	Updates []Update `json:"n,omitempty"`
 }
 
 // Message is a packet with its receiver.
--- a/internal/server/members.go
+++ b/internal/server/members.go
@@ -71,12 +71,12 @@
 	}
 	options.Incarnation = n.started.UnixMilli()
 	options.Seed = n.identity.seed()
-	options.Fill = n.digest
-	options.Observe = n.observeDigest
-	options.Changed = func(prober.Member) { m.refreshSoon() }
+	options.LocalDigest = n.digest
+	options.OnDigest = n.observeDigest
+	options.OnStateChange = func(prober.Member) { m.refreshSoon() }
 
 	m.prober = prober.New(options)
-	m.prober.List(time.Now(), n.listedNodes(nil))
+	m.prober.SetListedNodes(time.Now(), n.listedNodes(nil))
 	m.refresh()
 
 	return m
@@ -97,10 +97,10 @@
 // digest is what each heartbeat tells of this node.
 func (n *Node) digest() prober.Digest {
 	return prober.Digest{
-		Revision: n.distributor.Revision(),
-		Load:     n.loadPercent(),
-		Leaving:  n.drain.ShouldCloseConnections(),
-		Run:      n.identity.incarnation,
+		Revision:   n.distributor.Revision(),
+		Load:       n.loadPercent(),
+		Leaving:    n.drain.ShouldCloseConnections(),
+		InstanceID: n.identity.incarnation,
 	}
 }
 
@@ -126,7 +126,7 @@
 	view := &memberView{all: all, runs: make(map[string]string), unheard: make(map[string]time.Time)}
 
 	for _, member := range all {
-		if member.State != prober.Dead && member.Digest.Run == "" {
+		if member.State != prober.Dead && member.Digest.InstanceID == "" {
 			view.unheard[member.Name] = member.Since
 		}
 	}
@@ -143,7 +143,7 @@
 		}
 
 		view.nodes = append(view.nodes, distributor.Member{Name: member.Name, FailureDomain: member.FailureDomain})
-		view.runs[member.Name] = member.Digest.Run
+		view.runs[member.Name] = member.Digest.InstanceID
 
 		if !member.Leaving {
 			view.live = append(view.live, member.Name)
--- a/internal/server/members_test.go
+++ b/internal/server/members_test.go
@@ -48,7 +48,7 @@
 	node.members.prober.Receive(time.Now(), prober.Packet{Kind: prober.KindDigest, From: joined.Name, Incarnation: 1, Sequence: 1, VM: &joined})
 
 	for _, marked := range []bool{true, false} {
-		node.members.prober.List(time.Now(), node.listedNodes(map[string]bool{joined.Name: marked, "node-10": true}))
+		node.members.prober.SetListedNodes(time.Now(), node.listedNodes(map[string]bool{joined.Name: marked, "node-10": true}))
 
 		member, known := node.members.prober.Member(joined.Name)
 		assert.Assert(t, known)
--- a/internal/server/vms.go
+++ b/internal/server/vms.go
@@ -190,7 +190,7 @@
 		leaving[name] = true
 	}
 
-	n.members.prober.List(time.Now(), n.listedNodes(leaving))
+	n.members.prober.SetListedNodes(time.Now(), n.listedNodes(leaving))
 	n.markLeavingUpstreams(drainer.SourceList, leaving)
 
 	return read
--- a/test/capacity/heartbeats_test.go
+++ b/test/capacity/heartbeats_test.go
@@ -98,7 +98,7 @@
 	}
 
 	for i, h := range fleet {
-		probers[i].List(time.Now(), list)
+		probers[i].SetListedNodes(time.Now(), list)
 
 		go func() { _ = h.Run(ctx) }()
 	}
