--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -211,16 +211,16 @@
 	n.messages.Handle(follower.MethodReadStore, n.follower.HandleReadStore)
 
 	n.quarantine = quarantiner.New(quarantiner.Options{
-		Self:     settings.Node.PeerListen,
-		Live:     n.live,
-		Judges:   n.holders,
-		Peers:    n.messages,
-		IsDown:   n.isDown,
-		Recorder: store,
-		Logger:   logger,
+		Self:                  settings.Node.PeerListen,
+		Live:                  n.live,
+		CoordinatorCandidates: n.holders,
+		Peers:                 n.messages,
+		IsDown:                n.isDown,
+		Recorder:              store,
+		Logger:                logger,
 	})
 	n.messages.Handle(quarantiner.MethodReport, n.quarantine.HandleReport)
-	n.messages.Handle(quarantiner.MethodTestify, n.quarantine.HandleTestify)
+	n.messages.Handle(quarantiner.MethodQueryAnswered, n.quarantine.HandleQueryAnswered)
 	n.messages.Handle(quarantiner.MethodQuarantine, n.quarantine.HandleQuarantine)
 
 	n.tallier = n.newTallier()
--- a/internal/quarantiner/counters.go
+++ b/internal/quarantiner/counters.go
@@ -1,23 +1,24 @@
 package quarantiner
 
-// Counters are totals since the start of the node, and what it holds now.
+// Counters are totals since the node started, and current sizes.
 type Counters struct {
-	// Crashes are upstreams that crashed with requests of this node, BrokeOff those that broke off requests and still
-	// took connections.
-	Crashes  int64 `json:"crashes"`
-	BrokeOff int64 `json:"broke_off"`
-	// Acquitted and Quarantined are suspects that this node judged.
-	Acquitted   int64 `json:"acquitted"`
-	Quarantined int64 `json:"quarantined"`
-	// Refused are requests that were kept from running here.
+	// Crashes are upstreams that crashed with requests of this node. Interruptions are upstreams that broke off requests
+	// and still accepted connections.
+	Crashes       int64 `json:"crashes"`
+	Interruptions int64 `json:"broke_off"`
+	// ClearedSuspects and QuarantinedSuspects are suspects that this node decided on as coordinator.
+	ClearedSuspects     int64 `json:"acquitted"`
+	QuarantinedSuspects int64 `json:"quarantined"`
+	// Refused are requests that this node refused because they were in quarantine.
 	Refused int64 `json:"refused"`
-	// RecordsFailed are writes to the store that failed.
-	RecordsFailed int64 `json:"records_failed"`
-	// Held is the number of requests in quarantine.
-	Held int `json:"held"`
-	// Seen are the requests of this node that broke off lately, Marks those that it counts crashes against as a judge.
-	Seen  int `json:"seen"`
-	Marks int `json:"marks"`
+	// FailedStoreWrites are writes to the store that failed.
+	FailedStoreWrites int64 `json:"records_failed"`
+	// InQuarantine is the number of requests in quarantine.
+	InQuarantine int `json:"held"`
+	// TrackedRequests is the number of this node's own requests that broke off recently. DetectorEntries is the number of
+	// pairs of a crash and a request that it keeps as coordinator.
+	TrackedRequests int `json:"seen"`
+	DetectorEntries int `json:"marks"`
 }
 
 // Counters returns the totals.
@@ -26,7 +27,7 @@
 	defer q.mu.Unlock()
 
 	counters := q.counters
-	counters.Held, counters.Seen, counters.Marks = q.table.size(), q.runCount(), q.judge.size()
+	counters.InQuarantine, counters.TrackedRequests, counters.DetectorEntries = q.table.size(), q.runCount(), q.judge.size()
 
 	return counters
 }
--- a/internal/quarantiner/crashing.go
+++ b/internal/quarantiner/crashing.go
@@ -149,7 +149,7 @@
 
 	if !s.crashed {
 		s.alive = true
-		q.counters.BrokeOff++
+		q.counters.Interruptions++
 	}
 }
 
--- a/internal/quarantiner/judging.go
+++ b/internal/quarantiner/judging.go
@@ -39,7 +39,7 @@
 	for _, s := range suspects {
 		if node, ok := seenBy[s.key]; ok {
 			q.judge.acquit(s.key)
-			q.count(func(c *Counters) { c.Acquitted++ })
+			q.count(func(c *Counters) { c.ClearedSuspects++ })
 			q.options.Logger.Info().Stringer("request_key", s.key).Int("crashes", s.crashes).Str("answered_at", node).Msg("suspect_acquitted")
 		}
 	}
@@ -54,7 +54,7 @@
 
 		quarantine := Quarantine{Key: s.key, Since: time.Now().UnixMilli(), Crashes: s.crashes}
 		if q.table.add(time.Now(), quarantine) {
-			q.count(func(c *Counters) { c.Quarantined++ })
+			q.count(func(c *Counters) { c.QuarantinedSuspects++ })
 			q.enter(quarantine, "judge")
 
 			added = append(added, quarantine)
@@ -95,7 +95,7 @@
 	q.onPeers(ctx, workers, func(ctx context.Context, peer string) {
 		var answer testimony
 		// A node that doesn't answer has nothing to say for the suspects.
-		if err := q.options.Peers.Call(ctx, peer, MethodTestify, params, &answer); err == nil {
+		if err := q.options.Peers.Call(ctx, peer, MethodQueryAnswered, params, &answer); err == nil {
 			note(peer, answer.Answered)
 		}
 	})
@@ -116,7 +116,7 @@
 
 func (q *Quarantiner) record(ctx context.Context, entries []Quarantine) {
 	if err := q.options.Recorder.Record(ctx, entries); err != nil {
-		q.count(func(c *Counters) { c.RecordsFailed++ })
+		q.count(func(c *Counters) { c.FailedStoreWrites++ })
 		q.options.Logger.Warn().Err(err).Int("requests", len(entries)).Msg("quarantine_not_recorded")
 	}
 }
--- a/internal/quarantiner/messages.go
+++ b/internal/quarantiner/messages.go
@@ -81,8 +81,8 @@
 	}
 }
 
-// HandleTestify answers MethodTestify.
-func (q *Quarantiner) HandleTestify(_ context.Context, _ string, params json.RawMessage) (any, error) {
+// HandleQueryAnswered answers MethodQueryAnswered.
+func (q *Quarantiner) HandleQueryAnswered(_ context.Context, _ string, params json.RawMessage) (any, error) {
 	var asked testifyParams
 	if err := json.Unmarshal(params, &asked); err != nil {
 		return nil, err
--- a/internal/quarantiner/quarantiner.go
+++ b/internal/quarantiner/quarantiner.go
@@ -37,8 +37,8 @@
 const (
 	// MethodReport tells a judge what ran on upstreams that crashed.
 	MethodReport = "quarantine.report"
-	// MethodTestify asks a node which requests it has seen answered.
-	MethodTestify = "quarantine.testify"
+	// MethodQueryAnswered asks a node which requests it has seen answered.
+	MethodQueryAnswered = "quarantine.testify"
 	// MethodQuarantine tells a node of requests in quarantine.
 	MethodQuarantine = "quarantine.put"
 )
@@ -61,9 +61,9 @@
 	Self string
 	// Live returns the names of the nodes that answer, this one included.
 	Live func() []string
-	// Judges returns the names of the nodes among which the judges are chosen.
-	Judges func() []string
-	Peers  Peers
+	// CoordinatorCandidates returns the names of the nodes among which the judges are chosen.
+	CoordinatorCandidates func() []string
+	Peers                 Peers
 	// IsDown says whether an upstream takes no connection. It returns false where that isn't known.
 	IsDown   func(ctx context.Context, upstream, address string) bool
 	Recorder Recorder
@@ -211,7 +211,7 @@
 		return chosen
 	}
 
-	live := slices.Sorted(slices.Values(q.options.Judges()))
+	live := slices.Sorted(slices.Values(q.options.CoordinatorCandidates()))
 
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/quarantiner/quarantiner_test.go
+++ b/internal/quarantiner/quarantiner_test.go
@@ -87,9 +87,9 @@
 	}
 
 	handlers := map[string]func(context.Context, string, json.RawMessage) (any, error){
-		quarantiner.MethodReport:     n.HandleReport,
-		quarantiner.MethodTestify:    n.HandleTestify,
-		quarantiner.MethodQuarantine: n.HandleQuarantine,
+		quarantiner.MethodReport:        n.HandleReport,
+		quarantiner.MethodQueryAnswered: n.HandleQueryAnswered,
+		quarantiner.MethodQuarantine:    n.HandleQuarantine,
 	}
 
 	data, err := json.Marshal(params)
@@ -151,7 +151,7 @@
 // start starts a node that knows what the store holds.
 func (f *fleet) start(name string) {
 	q := quarantiner.New(quarantiner.Options{
-		Self: name, Live: f.live, Judges: f.live, Peers: peers{fleet: f, self: name},
+		Self: name, Live: f.live, CoordinatorCandidates: f.live, Peers: peers{fleet: f, self: name},
 		IsDown: func(_ context.Context, upstream, _ string) bool {
 			f.mu.Lock()
 			defer f.mu.Unlock()
@@ -586,7 +586,7 @@
 
 		for _, n := range f.nodes {
 			counters := n.Counters()
-			assert.Assert(t, counters.Marks <= 8192 && counters.Seen <= 2048, "%+v", counters)
+			assert.Assert(t, counters.DetectorEntries <= 8192 && counters.TrackedRequests <= 2048, "%+v", counters)
 		}
 
 		// The newest still count.
--- a/internal/server/quarantine.go
+++ b/internal/server/quarantine.go
@@ -38,16 +38,16 @@
 func (n *Node) newQuarantine() *quarantine {
 	q := &quarantine{node: n}
 	q.Quarantiner = quarantiner.New(quarantiner.Options{
-		Self:     n.identity.node,
-		Live:     n.members.Live,
-		Judges:   n.members.Live,
-		Peers:    n.messages,
-		IsDown:   func(ctx context.Context, _, address string) bool { return forwarder.IsDown(ctx, address) },
-		Recorder: q,
-		Logger:   n.logger,
+		Self:                  n.identity.node,
+		Live:                  n.members.Live,
+		CoordinatorCandidates: n.members.Live,
+		Peers:                 n.messages,
+		IsDown:                func(ctx context.Context, _, address string) bool { return forwarder.IsDown(ctx, address) },
+		Recorder:              q,
+		Logger:                n.logger,
 	})
 	n.messages.Handle(quarantiner.MethodReport, q.HandleReport)
-	n.messages.Handle(quarantiner.MethodTestify, q.HandleTestify)
+	n.messages.Handle(quarantiner.MethodQueryAnswered, q.HandleQueryAnswered)
 	n.messages.Handle(quarantiner.MethodQuarantine, q.HandleQuarantine)
 
 	return q
