--- a/internal/bencher/prefix.go
+++ b/internal/bencher/prefix.go
@@ -125,8 +125,8 @@
 		return
 	}
 
-	events, last := p.caches[name].Events(p.runner.clock.date(), p.table.Newest(service, name))
-	p.table.Take(service, name, last, events)
+	events, last := p.caches[name].Events(p.runner.clock.date(), p.table.AppliedSequence(service, name))
+	p.table.Apply(service, name, last, events)
 }
 
 // suffer empties the cache of an engine that crashes.
--- a/internal/prefixer/hasher.go
+++ b/internal/prefixer/hasher.go
@@ -21,9 +21,9 @@
 	maxSamples = 7
 )
 
-// Blocks returns the hash of each whole block at the start of a prompt, MaxBlocks
+// HashBlocks returns the hash of each whole block at the start of a prompt, MaxBlocks
 // at most. Each hash covers all blocks before it too, so that equal hashes mean equal prefixes.
-func Blocks(prompt string) []uint64 {
+func HashBlocks(prompt string) []uint64 {
 	count := min(len(prompt)/BlockBytes, MaxBlocks)
 	hashes := make([]uint64, 0, count)
 	digest := xxhash.New()
--- a/internal/prefixer/prefixer_test.go
+++ b/internal/prefixer/prefixer_test.go
@@ -9,7 +9,7 @@
 )
 
 func stored(sequence int, block uint64) Event {
-	return Event{Sequence: sequence, Kind: KindStored, Block: block}
+	return Event{Sequence: sequence, Kind: KindStored, PrefixHash: block}
 }
 
 func TestBlocksCoverAllBefore(t *testing.T) {
@@ -17,18 +17,18 @@
 	longer := prompt + strings.Repeat("c", BlockBytes-1)
 	other := strings.Repeat("x", BlockBytes) + strings.Repeat("b", BlockBytes)
 
-	assert.DeepEqual(t, Blocks(prompt), Blocks(longer))
-	assert.Assert(t, Blocks(prompt)[1] != Blocks(other)[1])
-	assert.Equal(t, len(Blocks(strings.Repeat("a", 1<<20))), MaxBlocks)
-	assert.Equal(t, len(Blocks("short")), 0)
+	assert.DeepEqual(t, HashBlocks(prompt), HashBlocks(longer))
+	assert.Assert(t, HashBlocks(prompt)[1] != HashBlocks(other)[1])
+	assert.Equal(t, len(HashBlocks(strings.Repeat("a", 1<<20))), MaxBlocks)
+	assert.Equal(t, len(HashBlocks("short")), 0)
 	assert.DeepEqual(t, Sample([]uint64{1, 2, 3, 4, 5}), []uint64{1, 2, 4})
-	assert.Equal(t, len(Sample(Blocks(strings.Repeat("a", 1<<20)))), maxSamples)
+	assert.Equal(t, len(Sample(HashBlocks(strings.Repeat("a", 1<<20)))), maxSamples)
 }
 
 func TestDeepestHintCounts(t *testing.T) {
 	table := NewTable()
 	// The event of block 2 is lost.
-	table.Take("s", "e1", 4, []Event{stored(1, 11), stored(3, 13), stored(4, 14)})
+	table.Apply("s", "e1", 4, []Event{stored(1, 11), stored(3, 13), stored(4, 14)})
 	assert.Equal(t, table.CachedTokens("s", "e1", []uint64{11, 12, 14}), 4*BlockTokens)
 	assert.Equal(t, table.CachedTokens("s", "e1", []uint64{11, 12, 15}), BlockTokens)
 	assert.Equal(t, table.CachedTokens("s", "e2", []uint64{11}), 0)
@@ -40,11 +40,11 @@
 // Cause: events with numbers below the last one taken were taken for old ones.
 func TestRestartForgets(t *testing.T) {
 	table := NewTable()
-	table.Take("s", "e1", 2, []Event{stored(1, 11), stored(2, 12)})
-	table.Take("s", "e1", 1, nil)
+	table.Apply("s", "e1", 2, []Event{stored(1, 11), stored(2, 12)})
+	table.Apply("s", "e1", 1, nil)
 	assert.Equal(t, table.CachedTokens("s", "e1", []uint64{11, 12}), 0)
-	assert.Equal(t, table.Newest("s", "e1"), 0)
-	table.Take("s", "e1", 1, []Event{stored(1, 13)})
+	assert.Equal(t, table.AppliedSequence("s", "e1"), 0)
+	table.Apply("s", "e1", 1, []Event{stored(1, 13)})
 	assert.Equal(t, table.CachedTokens("s", "e1", []uint64{13}), BlockTokens)
 }
 
@@ -53,22 +53,22 @@
 // Cause: jumps in the numbers were not counted.
 func TestLostEventsAgeHints(t *testing.T) {
 	table := NewTable()
-	table.Take("s", "e1", 1, []Event{stored(1, 11)})
-	table.Take("s", "e1", maxDoubt+2, []Event{stored(maxDoubt+2, 12)})
+	table.Apply("s", "e1", 1, []Event{stored(1, 11)})
+	table.Apply("s", "e1", maxDoubt+2, []Event{stored(maxDoubt+2, 12)})
 	assert.Equal(t, table.CachedTokens("s", "e1", []uint64{11}), BlockTokens)
-	table.Take("s", "e1", maxDoubt+4, []Event{stored(maxDoubt+4, 13)})
+	table.Apply("s", "e1", maxDoubt+4, []Event{stored(maxDoubt+4, 13)})
 	assert.Equal(t, table.CachedTokens("s", "e1", []uint64{11}), 0)
 	assert.Equal(t, table.CachedTokens("s", "e1", []uint64{12}), BlockTokens)
 }
 
 func TestKeepDropsUpstreamsThatLeft(t *testing.T) {
 	table := NewTable()
-	table.Take("s", "e1", 1, []Event{stored(1, 11)})
-	table.Take("s", "e2", 1, []Event{stored(1, 11)})
-	table.Keep("s", func(name string) bool { return name == "e2" })
+	table.Apply("s", "e1", 1, []Event{stored(1, 11)})
+	table.Apply("s", "e2", 1, []Event{stored(1, 11)})
+	table.RetainUpstreams("s", func(name string) bool { return name == "e2" })
 	assert.Equal(t, table.CachedTokens("s", "e1", []uint64{11}), 0)
 	assert.Equal(t, table.CachedTokens("s", "e2", []uint64{11}), BlockTokens)
-	table.Keep("s", func(string) bool { return false })
+	table.RetainUpstreams("s", func(string) bool { return false })
 	assert.Equal(t, len(table.services), 0)
 }
 
@@ -84,22 +84,22 @@
 		for i := range last {
 			if rapid.IntRange(0, 7).Draw(t, "lost") > 0 {
 				kind := rapid.SampledFrom([]Kind{KindStored, KindStored, KindEvicted, "unknown"}).Draw(t, "kind")
-				events = append(events, Event{Sequence: i + 1, Kind: kind, Block: rapid.Uint64Range(1, 20).Draw(t, "block")})
+				events = append(events, Event{Sequence: i + 1, Kind: kind, PrefixHash: rapid.Uint64Range(1, 20).Draw(t, "block")})
 			}
 		}
 
-		once.Take("s", "e1", last, events)
+		once.Apply("s", "e1", last, events)
 
 		for at := 0; at < len(events); {
 			next := rapid.IntRange(at+1, len(events)).Draw(t, "next")
 			from := rapid.IntRange(0, at).Draw(t, "from")
 			page := rapid.Permutation(events[from:next]).Draw(t, "page")
-			table.Take("s", "e1", last, page)
+			table.Apply("s", "e1", last, page)
 
 			at = next
 
 			old := rapid.IntRange(0, at-1).Draw(t, "old")
-			table.Take("s", "e1", last, events[old:rapid.IntRange(old, at).Draw(t, "old_end")])
+			table.Apply("s", "e1", last, events[old:rapid.IntRange(old, at).Draw(t, "old_end")])
 		}
 
 		for block := uint64(1); block <= 20; block++ {
@@ -112,7 +112,7 @@
 	table := NewTable()
 
 	for i := 1; i <= 3*blocksPerUpstream; i++ {
-		table.Take("s", "e1", i, []Event{stored(i, uint64(i))})
+		table.Apply("s", "e1", i, []Event{stored(i, uint64(i))})
 	}
 
 	assert.Equal(t, table.services["s"]["e1"].blocks.Len(), blocksPerUpstream)
@@ -120,7 +120,7 @@
 
 func BenchmarkSaved(b *testing.B) {
 	table := NewTable()
-	table.Take("s", "e1", 1, []Event{stored(1, 11)})
+	table.Apply("s", "e1", 1, []Event{stored(1, 11)})
 
 	prefixes := []uint64{11, 12, 13, 14, 15, 16, 17}
 
--- a/internal/prefixer/table.go
+++ b/internal/prefixer/table.go
@@ -28,8 +28,8 @@
 	// Sequence counts the events of one engine from 1; a jump shows that some are lost.
 	Sequence int
 	Kind     Kind
-	// Block is the hash of the block and of all before it.
-	Block uint64
+	// PrefixHash is the hash of the block and of all before it.
+	PrefixHash uint64
 }
 
 // Table holds the hints about the upstreams of all services, in memory that is
@@ -54,8 +54,8 @@
 	blocks *simplelru.LRU[uint64, int]
 }
 
-// Newest returns the highest sequence number that was taken from an upstream; zero for none.
-func (t *Table) Newest(service, upstream string) int {
+// AppliedSequence returns the highest sequence number that was taken from an upstream; zero for none.
+func (t *Table) AppliedSequence(service, upstream string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 
@@ -66,7 +66,7 @@
 	return 0
 }
 
-// Take adds the events of an upstream, in any order; those that were taken
+// Apply adds the events of an upstream, in any order; those that were taken
 // before change nothing. Last is the highest sequence number that the upstream
 // gave out so far. One below what was taken means that the upstream began
 // anew, with an empty cache: all hints about it go. An answer that was overtaken
@@ -75,7 +75,7 @@
 // After a jump in the numbers the hints stay: the lost event may have been an
 // eviction of any of them, yet most still hold. Each lost event makes older
 // hints a bit older, until they aren't used any more.
-func (t *Table) Take(service, upstream string, last int, events []Event) {
+func (t *Table) Apply(service, upstream string, last int, events []Event) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 
@@ -106,9 +106,9 @@
 
 	switch e.Kind {
 	case KindStored:
-		h.blocks.Add(e.Block, h.lost)
+		h.blocks.Add(e.PrefixHash, h.lost)
 	case KindEvicted:
-		h.blocks.Remove(e.Block)
+		h.blocks.Remove(e.PrefixHash)
 	}
 }
 
@@ -128,8 +128,8 @@
 	return h
 }
 
-// Keep drops the hints about all upstreams of a service but those named.
-func (t *Table) Keep(service string, upstreams func(name string) bool) {
+// RetainUpstreams drops the hints about all upstreams of a service but those named.
+func (t *Table) RetainUpstreams(service string, upstreams func(name string) bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 
--- a/internal/server/prefixes.go
+++ b/internal/server/prefixes.go
@@ -34,7 +34,7 @@
 		return
 	}
 
-	n.prefixes.Keep(service.Name, func(name string) bool {
+	n.prefixes.RetainUpstreams(service.Name, func(name string) bool {
 		_, ok := service.Upstreams[name]
 
 		return ok
@@ -51,7 +51,7 @@
 func (n *Node) pollCacheEvents(ctx context.Context, client *resty.Client, service string, upstream configurer.Upstream) {
 	var published cacheEvents
 
-	after := n.prefixes.Newest(service, upstream.Name)
+	after := n.prefixes.AppliedSequence(service, upstream.Name)
 
 	response, err := client.R().SetContext(ctx).SetResult(&published).
 		SetQueryParam("after", strconv.Itoa(after)).Get(upstream.Address + "/cache_events")
@@ -64,7 +64,7 @@
 		last = *published.Last
 	}
 
-	n.prefixes.Take(service, upstream.Name, last, published.taken())
+	n.prefixes.Apply(service, upstream.Name, last, published.taken())
 }
 
 // taken returns the events that can be read.
@@ -77,7 +77,7 @@
 			continue
 		}
 
-		events = append(events, prefixer.Event{Sequence: e.Sequence, Kind: e.Kind, Block: block})
+		events = append(events, prefixer.Event{Sequence: e.Sequence, Kind: e.Kind, PrefixHash: block})
 	}
 
 	return events
@@ -85,7 +85,7 @@
 
 // prefixesOf returns the sampled hashes of the prompt in an engine request.
 func prefixesOf(body []byte) []uint64 {
-	return prefixer.Sample(prefixer.Blocks(promptHead(body)))
+	return prefixer.Sample(prefixer.HashBlocks(promptHead(body)))
 }
 
 // promptHead returns the start of the prompt as engines read it, as far as prefixes are looked at.
--- a/internal/standin/cacher/cacher.go
+++ b/internal/standin/cacher/cacher.go
@@ -88,7 +88,7 @@
 		c.events = c.events[1:]
 	}
 
-	c.events = append(c.events, event{Event: prefixer.Event{Sequence: c.count, Kind: kind, Block: block}, at: c.now})
+	c.events = append(c.events, event{Event: prefixer.Event{Sequence: c.count, Kind: kind, PrefixHash: block}, at: c.now})
 }
 
 // Events returns what shows at a time of the events above a sequence number, and the highest number that shows.
--- a/internal/standin/cacher/cacher_test.go
+++ b/internal/standin/cacher/cacher_test.go
@@ -35,7 +35,7 @@
 	assert.Assert(t, len(shown) > 660 && len(shown) < 740, "%d", len(shown))
 
 	rest, _ := c.Events(start.Add(time.Second), last-1)
-	assert.DeepEqual(t, rest, []prefixer.Event{{Sequence: last, Kind: prefixer.KindStored, Block: uint64(last)}})
+	assert.DeepEqual(t, rest, []prefixer.Event{{Sequence: last, Kind: prefixer.KindStored, PrefixHash: uint64(last)}})
 }
 
 func TestEvictionsShow(t *testing.T) {
--- a/internal/standin/generator/completions.go
+++ b/internal/standin/generator/completions.go
@@ -112,7 +112,7 @@
 		refuse(w, http.StatusBadRequest, "invalid_request_error", "invalid_value", err.Error())
 		return nil
 	}
-	a.blocks = prefixer.Blocks(a.answer.prompt)
+	a.blocks = prefixer.HashBlocks(a.answer.prompt)
 	if !e.orders.serves(a.request.Model) {
 		refuse(w, http.StatusNotFound, "invalid_request_error", "model_not_found", "the model is not loaded: "+a.request.Model)
 		return nil
--- a/internal/standin/generator/prefixes.go
+++ b/internal/standin/generator/prefixes.go
@@ -62,7 +62,7 @@
 	answer := prefixEvents{Last: last, Events: []prefixEvent{}}
 	for _, v := range shown {
 		answer.Events = append(answer.Events, prefixEvent{
-			Sequence: v.Sequence, Kind: v.Kind, PrefixHash: strconv.FormatUint(v.Block, 16),
+			Sequence: v.Sequence, Kind: v.Kind, PrefixHash: strconv.FormatUint(v.PrefixHash, 16),
 		})
 	}
 	supporter.WriteJSON(w, http.StatusOK, answer)
