--- a/internal/forwarder/client.go
+++ b/internal/forwarder/client.go
@@ -18,10 +18,10 @@
 
 // Headers that upstreams receive.
 const (
-	HeaderRequestID = "X-Request-Id"
-	HeaderAttempt   = "X-Attempt"
-	HeaderPriority  = "X-Priority"
-	HeaderKey       = "Idempotency-Key"
+	HeaderRequestID      = "X-Request-Id"
+	HeaderAttempt        = "X-Attempt"
+	HeaderPriority       = "X-Priority"
+	HeaderIdempotencyKey = "Idempotency-Key"
 )
 
 const (
@@ -51,8 +51,8 @@
 	RequestID string
 	Attempt   int
 	Priority  int
-	// OnNewConnection asks for a connection that carried nothing before.
-	OnNewConnection bool
+	// UseNewConnection asks for a connection that carried nothing before.
+	UseNewConnection bool
 }
 
 // Client sends calls to upstreams. It is safe for concurrent use.
@@ -91,7 +91,7 @@
 	c.fillHeader(request, call)
 
 	client := c.pooled
-	if call.OnNewConnection {
+	if call.UseNewConnection {
 		client = c.fresh
 	}
 
@@ -107,8 +107,8 @@
 	return nil, errors.Wrap(err, "exchange with upstream")
 }
 
-// Close ends all idle connections.
-func (c *Client) Close() {
+// CloseIdleConnections ends all idle connections.
+func (c *Client) CloseIdleConnections() {
 	c.pooled.CloseIdleConnections()
 	c.fresh.CloseIdleConnections()
 }
--- a/internal/forwarder/gap.go
+++ b/internal/forwarder/gap.go
@@ -66,8 +66,8 @@
 	g.timer.Reset(g.limits.Next)
 }
 
-// Attach sets the body to read from.
-func (g *GapReader) Attach(body io.Reader) {
+// SetBody sets the body to read from.
+func (g *GapReader) SetBody(body io.Reader) {
 	g.body = body
 }
 
--- a/internal/forwarder/rest.go
+++ b/internal/forwarder/rest.go
@@ -11,9 +11,9 @@
 // mostRest bounds the rest that an upstream can ask for.
 const mostRest = time.Hour
 
-// RestOf returns for how long an upstream that turned a request away wants no other from this node; false if it doesn't
+// ParseRetryAfter returns for how long an upstream that turned a request away wants no other from this node; false if it doesn't
 // say so. It is the Retry-After of a 429 or 503, in seconds, fractions allowed, or as a date.
-func RestOf(response *http.Response, now time.Time) (time.Duration, bool) {
+func ParseRetryAfter(response *http.Response, now time.Time) (time.Duration, bool) {
 	if response.StatusCode != http.StatusServiceUnavailable && response.StatusCode != http.StatusTooManyRequests {
 		return 0, false
 	}
@@ -43,8 +43,8 @@
 	return e.error
 }
 
-// RestIn returns the rest that the refusal in err asked for; 0 if it asked for none.
-func RestIn(err error) time.Duration {
+// RetryAfterOf returns the rest that the refusal in err asked for; 0 if it asked for none.
+func RetryAfterOf(err error) time.Duration {
 	var refusal *restError
 	if errors.As(err, &refusal) {
 		return refusal.rest
--- a/internal/forwarder/rest_test.go
+++ b/internal/forwarder/rest_test.go
@@ -30,12 +30,12 @@
 	} {
 		response := &http.Response{StatusCode: http.StatusServiceUnavailable, Header: http.Header{"Retry-After": {text}}}
 
-		rest, ok := forwarder.RestOf(response, now)
+		rest, ok := forwarder.ParseRetryAfter(response, now)
 		assert.Equal(t, ok, want > 0, text)
 		assert.Assert(t, !ok || rest == want, "%s: %v", text, rest)
 
 		response.StatusCode = http.StatusInternalServerError
-		_, ok = forwarder.RestOf(response, now)
+		_, ok = forwarder.ParseRetryAfter(response, now)
 		assert.Assert(t, !ok)
 	}
 }
@@ -48,6 +48,6 @@
 	err := forwarder.CheckStatus(response(http.StatusServiceUnavailable))
 	assert.Assert(t, errors.Is(err, forwarder.ErrRefused))
 	assert.ErrorContains(t, err, "full")
-	assert.Equal(t, forwarder.RestIn(err), 2*time.Second)
-	assert.Equal(t, forwarder.RestIn(forwarder.CheckStatus(response(http.StatusInternalServerError))), time.Duration(0))
+	assert.Equal(t, forwarder.RetryAfterOf(err), 2*time.Second)
+	assert.Equal(t, forwarder.RetryAfterOf(forwarder.CheckStatus(response(http.StatusInternalServerError))), time.Duration(0))
 }
--- a/internal/forwarder/status.go
+++ b/internal/forwarder/status.go
@@ -30,7 +30,7 @@
 
 	switch {
 	case status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable:
-		if rest, ok := RestOf(response, time.Now()); ok {
+		if rest, ok := ParseRetryAfter(response, time.Now()); ok {
 			err = &restError{error: err, rest: rest}
 		}
 
--- a/internal/gateway/relayer/attempt.go
+++ b/internal/gateway/relayer/attempt.go
@@ -116,7 +116,7 @@
 		}
 	}
 
-	if rest, ok := forwarder.RestOf(response.Response, now); ok {
+	if rest, ok := forwarder.ParseRetryAfter(response.Response, now); ok {
 		r.avoidList.markResting(request.service, choice.Upstream, r.bornAt(choice.Upstream), now.Add(rest))
 		r.options.Logger.Info().Str("upstream", choice.Upstream).Str("service", request.service).Dur("rest_ms", rest).Msg("upstream_resting")
 	}
--- a/internal/replayer/attempt.go
+++ b/internal/replayer/attempt.go
@@ -92,7 +92,7 @@
 	reader := forwarder.NewGapReader(forwarder.GapLimits{First: silenceLimit, Next: silenceLimit}, nil, cancel)
 	defer reader.Stop()
 
-	reader.Attach(response.Body)
+	reader.SetBody(response.Body)
 
 	r := a.read(response, reader)
 	r.requestID = response.Header.Get(headerRequestID)
@@ -123,7 +123,7 @@
 	}
 
 	if a.event.IdempotencyKey != "" {
-		request.Header.Set(forwarder.HeaderKey, a.event.IdempotencyKey)
+		request.Header.Set(forwarder.HeaderIdempotencyKey, a.event.IdempotencyKey)
 	}
 
 	return request, nil
--- a/internal/server/attempts.go
+++ b/internal/server/attempts.go
@@ -18,11 +18,11 @@
 // on a reused connection it could be sent twice unseen, as forwarder.Client tells.
 func newCall(request dispatcher.Request, attempt dispatcher.Attempt, path string) forwarder.Call {
 	return forwarder.Call{
-		URL:             attempt.Slot.Upstream.Address + path,
-		RequestID:       request.ID,
-		Attempt:         attempt.Number,
-		Priority:        attempt.Slot.Priority,
-		OnNewConnection: attempt.Number > 1 || !request.Repeatable,
+		URL:              attempt.Slot.Upstream.Address + path,
+		RequestID:        request.ID,
+		Attempt:          attempt.Number,
+		Priority:         attempt.Slot.Priority,
+		UseNewConnection: attempt.Number > 1 || !request.Repeatable,
 	}
 }
 
@@ -52,6 +52,6 @@
 // limit, long after the fault, until the retry budget is spent.
 func leaveIdleAfter(outcome dispatcher.Outcome, client *forwarder.Client) {
 	if outcome.Result == dispatcher.ResultSilent {
-		client.Close()
+		client.CloseIdleConnections()
 	}
 }
--- a/internal/server/caller.go
+++ b/internal/server/caller.go
@@ -114,7 +114,7 @@
 		return intake{}, failure
 	}
 
-	key := r.Header.Get(forwarder.HeaderKey)
+	key := r.Header.Get(forwarder.HeaderIdempotencyKey)
 	if len(key) > maxKeyBytes {
 		return intake{}, classifier.New(classifier.KeyTooLong, "the idempotency key has %d bytes; %d are allowed", len(key), maxKeyBytes)
 	}
--- a/internal/server/engine.go
+++ b/internal/server/engine.go
@@ -166,7 +166,7 @@
 		Duration:        time.Since(started),
 		Tokens:          pump.delivered,
 		DiscardedTokens: pump.wasted,
-		RetryAfter:      forwarder.RestIn(err),
+		RetryAfter:      forwarder.RetryAfterOf(err),
 		Err:             err,
 	}
 	leaveIdleAfter(outcome, s.client)
@@ -208,7 +208,7 @@
 
 	header := http.Header{"Content-Type": {"application/json"}}
 	if s.key != "" {
-		header.Set(forwarder.HeaderKey, s.key)
+		header.Set(forwarder.HeaderIdempotencyKey, s.key)
 	}
 
 	call := newCall(s.request, attempt, s.path)
@@ -226,7 +226,7 @@
 		return failure
 	}
 
-	reader.Attach(response.Body)
+	reader.SetBody(response.Body)
 
 	return pump.run(reader)
 }
--- a/internal/server/leaving.go
+++ b/internal/server/leaving.go
@@ -71,7 +71,7 @@
 	n.stopWork()
 	n.runners.StopAndWait()
 	n.background.StopAndWait()
-	n.upstream.Close()
+	n.upstream.CloseIdleConnections()
 	n.logger.Info().Str("reason", string(reason)).Msg("node_stopped")
 
 	return errors.Wrap(err, "shut down")
--- a/internal/server/plain.go
+++ b/internal/server/plain.go
@@ -127,7 +127,7 @@
 	outcome := dispatcher.Outcome{
 		Result:     sendResult(ctx, err, reader),
 		Duration:   time.Since(started),
-		RetryAfter: forwarder.RestIn(err),
+		RetryAfter: forwarder.RetryAfterOf(err),
 		Err:        err,
 	}
 
@@ -156,7 +156,7 @@
 		return err
 	}
 
-	reader.Attach(response.Body)
+	reader.SetBody(response.Body)
 
 	payload, err := io.ReadAll(io.LimitReader(reader, maxPlainAnswerBytes+1))
 	if err != nil {
