--- a/internal/prefixer/hasher.go
+++ b/internal/prefixer/hasher.go
@@ -1,7 +1,7 @@
-// Package prefixer keeps hints about which engine holds which prompt prefix in
-// its cache. The hints come from cache events that engines publish late and
-// with gaps, so nothing may depend on them: they choose between servers that
-// are as good as each other, and a wrong one costs a prefill and nothing more.
+// Package prefixer keeps hints about which engine has which prompt prefixes in
+// its cache. Engines publish the underlying cache events late and with gaps, so
+// the hints may only decide between equivalent servers. A wrong hint costs one
+// prefill and nothing more.
 package prefixer
 
 import (
@@ -11,18 +11,18 @@
 )
 
 const (
-	// BlockBytes is the length of one block of prompt text.
+	// BlockBytes is the size of one block of prompt text.
 	BlockBytes = 256
-	// BlockTokens is about how many tokens a block has.
+	// BlockTokens is the approximate number of tokens in a block.
 	BlockTokens = 64
-	// MaxBlocks is the number of leading blocks that are looked at.
+	// MaxBlocks bounds the leading blocks of a prompt that are hashed.
 	MaxBlocks = 64
-	// maxSamples is the number of depths 1, 2, 4 and so on up to MaxBlocks.
-	maxSamples = 7
+	// maxSampleDepths is the number of powers of two from 1 to MaxBlocks.
+	maxSampleDepths = 7
 )
 
-// HashBlocks returns the hash of each whole block at the start of a prompt, MaxBlocks
-// at most. Each hash covers all blocks before it too, so that equal hashes mean equal prefixes.
+// HashBlocks returns the hashes of the complete leading blocks of a prompt, at most
+// MaxBlocks. Each hash also covers all preceding blocks, so equal hashes mean equal prefixes.
 func HashBlocks(prompt string) []uint64 {
 	count := min(len(prompt)/BlockBytes, MaxBlocks)
 	hashes := make([]uint64, 0, count)
@@ -32,7 +32,7 @@
 
 	for i := range count {
 		digest.Reset()
-		// A digest's writes return no error.
+		// Writes to a digest never fail.
 		_, _ = digest.Write(last[:])
 		_, _ = digest.WriteString(prompt[i*BlockBytes : (i+1)*BlockBytes])
 
@@ -44,11 +44,11 @@
 	return hashes
 }
 
-// Sample keeps the hashes of the depths 1, 2, 4 and so on. They are few enough to travel with each ask.
+// Sample returns the hashes at depths 1, 2, 4 and so on, few enough to be sent with each slot request.
 func Sample(blocks []uint64) []uint64 {
 	var sample []uint64
 
-	for depth := 1; depth <= len(blocks) && len(sample) < maxSamples; depth *= 2 {
+	for depth := 1; depth <= len(blocks) && len(sample) < maxSampleDepths; depth *= 2 {
 		sample = append(sample, blocks[depth-1])
 	}
 
--- a/internal/prefixer/prefixer_test.go
+++ b/internal/prefixer/prefixer_test.go
@@ -12,7 +12,7 @@
 	return Event{Sequence: sequence, Kind: KindStored, PrefixHash: block}
 }
 
-func TestBlocksCoverAllBefore(t *testing.T) {
+func TestHashBlocks_HashCoversPrecedingBlocks(t *testing.T) {
 	prompt := strings.Repeat("a", BlockBytes) + strings.Repeat("b", BlockBytes)
 	longer := prompt + strings.Repeat("c", BlockBytes-1)
 	other := strings.Repeat("x", BlockBytes) + strings.Repeat("b", BlockBytes)
@@ -22,12 +22,12 @@
 	assert.Equal(t, len(HashBlocks(strings.Repeat("a", 1<<20))), MaxBlocks)
 	assert.Equal(t, len(HashBlocks("short")), 0)
 	assert.DeepEqual(t, Sample([]uint64{1, 2, 3, 4, 5}), []uint64{1, 2, 4})
-	assert.Equal(t, len(Sample(HashBlocks(strings.Repeat("a", 1<<20)))), maxSamples)
+	assert.Equal(t, len(Sample(HashBlocks(strings.Repeat("a", 1<<20)))), maxSampleDepths)
 }
 
-func TestDeepestHintCounts(t *testing.T) {
+func TestCachedTokens_UsesDeepestHint(t *testing.T) {
 	table := NewTable()
-	// The event of block 2 is lost.
+	// The event with sequence number 2 is lost.
 	table.Apply("s", "e1", 4, []Event{stored(1, 11), stored(3, 13), stored(4, 14)})
 	assert.Equal(t, table.CachedTokens("s", "e1", []uint64{11, 12, 14}), 4*BlockTokens)
 	assert.Equal(t, table.CachedTokens("s", "e1", []uint64{11, 12, 15}), BlockTokens)
@@ -35,10 +35,9 @@
 	assert.Equal(t, table.CachedTokens("other", "e1", []uint64{11}), 0)
 }
 
-// Symptom: hints about an engine's empty cache draw requests to it.
-// Events: the engine restarts; its events begin at 1 again.
-// Cause: events with numbers below the last one taken were taken for old ones.
-func TestRestartForgets(t *testing.T) {
+// Guards against stale hints that send requests to an engine with an empty cache: after a restart its
+// sequence numbers start at 1 again, and its new events were ignored as duplicates.
+func TestApply_RestartClearsHints(t *testing.T) {
 	table := NewTable()
 	table.Apply("s", "e1", 2, []Event{stored(1, 11), stored(2, 12)})
 	table.Apply("s", "e1", 1, nil)
@@ -48,20 +47,19 @@
 	assert.Equal(t, table.CachedTokens("s", "e1", []uint64{13}), BlockTokens)
 }
 
-// Symptom: a hint lives for ever although the engine dropped the block long ago.
-// Events: the eviction is one of the lost events.
-// Cause: jumps in the numbers were not counted.
-func TestLostEventsAgeHints(t *testing.T) {
+// Guards against a hint that is kept forever because the event of its eviction was lost: gaps in the
+// sequence numbers were not counted.
+func TestCachedTokens_IgnoresHintsAfterLostEvents(t *testing.T) {
 	table := NewTable()
 	table.Apply("s", "e1", 1, []Event{stored(1, 11)})
-	table.Apply("s", "e1", maxDoubt+2, []Event{stored(maxDoubt+2, 12)})
+	table.Apply("s", "e1", maxLostEvents+2, []Event{stored(maxLostEvents+2, 12)})
 	assert.Equal(t, table.CachedTokens("s", "e1", []uint64{11}), BlockTokens)
-	table.Apply("s", "e1", maxDoubt+4, []Event{stored(maxDoubt+4, 13)})
+	table.Apply("s", "e1", maxLostEvents+4, []Event{stored(maxLostEvents+4, 13)})
 	assert.Equal(t, table.CachedTokens("s", "e1", []uint64{11}), 0)
 	assert.Equal(t, table.CachedTokens("s", "e1", []uint64{12}), BlockTokens)
 }
 
-func TestKeepDropsUpstreamsThatLeft(t *testing.T) {
+func TestRetainUpstreams_RemovesOthers(t *testing.T) {
 	table := NewTable()
 	table.Apply("s", "e1", 1, []Event{stored(1, 11)})
 	table.Apply("s", "e2", 1, []Event{stored(1, 11)})
@@ -72,11 +70,10 @@
 	assert.Equal(t, len(table.services), 0)
 }
 
-// TestTakeAgainChangesNothing holds that doubled and late events leave the table
-// as it was, and that its memory is bounded.
-func TestTakeAgainChangesNothing(t *testing.T) {
+// TestApply_IsIdempotent checks that duplicate and late events leave the table unchanged.
+func TestApply_IsIdempotent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		table, once := NewTable(), NewTable()
+		table, expected := NewTable(), NewTable()
 		last := rapid.IntRange(1, 200).Draw(t, "last")
 
 		var events []Event
@@ -88,7 +85,7 @@
 			}
 		}
 
-		once.Apply("s", "e1", last, events)
+		expected.Apply("s", "e1", last, events)
 
 		for at := 0; at < len(events); {
 			next := rapid.IntRange(at+1, len(events)).Draw(t, "next")
@@ -103,22 +100,22 @@
 		}
 
 		for block := uint64(1); block <= 20; block++ {
-			assert.Equal(t, table.CachedTokens("s", "e1", []uint64{block}), once.CachedTokens("s", "e1", []uint64{block}))
+			assert.Equal(t, table.CachedTokens("s", "e1", []uint64{block}), expected.CachedTokens("s", "e1", []uint64{block}))
 		}
 	})
 }
 
-func TestMemoryIsBounded(t *testing.T) {
+func TestApply_BoundsHintsPerUpstream(t *testing.T) {
 	table := NewTable()
 
-	for i := 1; i <= 3*blocksPerUpstream; i++ {
+	for i := 1; i <= 3*maxHintsPerUpstream; i++ {
 		table.Apply("s", "e1", i, []Event{stored(i, uint64(i))})
 	}
 
-	assert.Equal(t, table.services["s"]["e1"].blocks.Len(), blocksPerUpstream)
+	assert.Equal(t, table.services["s"]["e1"].lostEventsWhenStored.Len(), maxHintsPerUpstream)
 }
 
-func BenchmarkSaved(b *testing.B) {
+func BenchmarkCachedTokens(b *testing.B) {
 	table := NewTable()
 	table.Apply("s", "e1", 1, []Event{stored(1, 11)})
 
--- a/internal/prefixer/table.go
+++ b/internal/prefixer/table.go
@@ -8,133 +8,134 @@
 )
 
 const (
-	// blocksPerUpstream bounds the hints about one upstream.
-	blocksPerUpstream = 4096
-	// maxDoubt is the number of lost events after which an older hint is not used any more.
-	maxDoubt = 512
+	// maxHintsPerUpstream bounds the memory for one upstream; the least recently used hints are evicted.
+	maxHintsPerUpstream = 4096
+	// maxLostEvents is the number of events that may be lost after a hint was stored before it is ignored.
+	maxLostEvents = 512
 )
 
-// Kind says what an engine did with a block.
+// Kind is what an engine did with a block.
 type Kind string
 
-// The kinds of events; others change nothing.
+// The known kinds of events. Other kinds leave the hints unchanged.
 const (
 	KindStored  Kind = "stored"
 	KindEvicted Kind = "evicted"
 )
 
-// Event tells that an engine stored or evicted one block.
+// Event reports that an engine stored or evicted one block.
 type Event struct {
-	// Sequence counts the events of one engine from 1; a jump shows that some are lost.
+	// Sequence numbers the events of one engine from 1; a gap means that events were lost.
 	Sequence int
 	Kind     Kind
-	// PrefixHash is the hash of the block and of all before it.
+	// PrefixHash is the hash of the block and all preceding blocks.
 	PrefixHash uint64
 }
 
-// Table holds the hints about the upstreams of all services, in memory that is
-// bounded for each upstream. It is safe for concurrent use. Its lock may be taken below that of a pool.
+// Table holds the hints about the upstreams of all services. Its memory is bounded
+// per upstream. It is safe for concurrent use. Its lock may be acquired while the lock of a pool is held.
 type Table struct {
 	mu       sync.Mutex
-	services map[string]map[string]*holding
+	services map[string]map[string]*upstreamHints
 }
 
 // NewTable returns a table without hints.
 func NewTable() *Table {
-	return &Table{services: make(map[string]map[string]*holding)}
+	return &Table{services: make(map[string]map[string]*upstreamHints)}
 }
 
-// holding is what one upstream probably has in its cache.
-type holding struct {
-	// newest is the highest sequence number that was taken.
-	newest int
-	// lost counts the events that never came.
-	lost int
-	// blocks has the value of lost at the time of each hint.
-	blocks *simplelru.LRU[uint64, int]
+// upstreamHints are the prefixes that one upstream probably has in its cache.
+type upstreamHints struct {
+	// appliedSequence is the highest sequence number applied.
+	appliedSequence int
+	// lostEvents counts the events missing from the sequence.
+	lostEvents int
+	// lostEventsWhenStored maps a prefix hash to the value of lostEvents when its hint was stored.
+	lostEventsWhenStored *simplelru.LRU[uint64, int]
 }
 
-// AppliedSequence returns the highest sequence number that was taken from an upstream; zero for none.
+// AppliedSequence returns the highest sequence number applied for an upstream, or 0 if there is none.
 func (t *Table) AppliedSequence(service, upstream string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 
 	if h := t.services[service][upstream]; h != nil {
-		return h.newest
+		return h.appliedSequence
 	}
 
 	return 0
 }
 
-// Apply adds the events of an upstream, in any order; those that were taken
-// before change nothing. Last is the highest sequence number that the upstream
-// gave out so far. One below what was taken means that the upstream began
-// anew, with an empty cache: all hints about it go. An answer that was overtaken
-// by a later one looks the same; then the next one brings all events again.
+// Apply updates the hints from the events of an upstream, which may be in any
+// order. Events up to the applied sequence number are ignored. last is the highest
+// sequence number that the upstream has assigned so far. If it is lower than the
+// applied one, the upstream restarted with an empty cache and all its hints are
+// removed. A response overtaken by a later one looks the same; the next response
+// then contains all events again.
 //
-// After a jump in the numbers the hints stay: the lost event may have been an
-// eviction of any of them, yet most still hold. Each lost event makes older
-// hints a bit older, until they aren't used any more.
+// A gap in the sequence keeps the hints: the lost event may have evicted any one of
+// them, but most are still correct. The lost events are counted, and a hint is
+// ignored once more than maxLostEvents were lost after it was stored.
 func (t *Table) Apply(service, upstream string, last int, events []Event) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 
-	h := t.open(service, upstream)
-	if last < h.newest {
-		h.blocks.Purge()
-		h.newest, h.lost = 0, 0
+	h := t.getOrCreate(service, upstream)
+	if last < h.appliedSequence {
+		h.lostEventsWhenStored.Purge()
+		h.appliedSequence, h.lostEvents = 0, 0
 	}
 
 	events = slices.Clone(events)
 	slices.SortFunc(events, func(a, b Event) int { return a.Sequence - b.Sequence })
 
 	for i := range events {
-		h.take(events[i])
+		h.apply(events[i])
 	}
 }
 
-func (h *holding) take(e Event) {
-	if e.Sequence <= h.newest {
+func (h *upstreamHints) apply(e Event) {
+	if e.Sequence <= h.appliedSequence {
 		return
 	}
 
-	if h.newest > 0 {
-		h.lost += e.Sequence - h.newest - 1
+	if h.appliedSequence > 0 {
+		h.lostEvents += e.Sequence - h.appliedSequence - 1
 	}
 
-	h.newest = e.Sequence
+	h.appliedSequence = e.Sequence
 
 	switch e.Kind {
 	case KindStored:
-		h.blocks.Add(e.PrefixHash, h.lost)
+		h.lostEventsWhenStored.Add(e.PrefixHash, h.lostEvents)
 	case KindEvicted:
-		h.blocks.Remove(e.PrefixHash)
+		h.lostEventsWhenStored.Remove(e.PrefixHash)
 	}
 }
 
-func (t *Table) open(service, upstream string) *holding {
+func (t *Table) getOrCreate(service, upstream string) *upstreamHints {
 	if t.services[service] == nil {
-		t.services[service] = make(map[string]*holding)
+		t.services[service] = make(map[string]*upstreamHints)
 	}
 
 	h := t.services[service][upstream]
 	if h == nil {
-		// It fails for a size below 1 only.
-		blocks, _ := simplelru.NewLRU[uint64, int](blocksPerUpstream, nil)
-		h = &holding{blocks: blocks}
+		// NewLRU fails only for a size below 1.
+		lru, _ := simplelru.NewLRU[uint64, int](maxHintsPerUpstream, nil)
+		h = &upstreamHints{lostEventsWhenStored: lru}
 		t.services[service][upstream] = h
 	}
 
 	return h
 }
 
-// RetainUpstreams drops the hints about all upstreams of a service but those named.
-func (t *Table) RetainUpstreams(service string, upstreams func(name string) bool) {
+// RetainUpstreams removes the hints about all upstreams of a service that are not listed.
+func (t *Table) RetainUpstreams(service string, listed func(name string) bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 
 	for name := range t.services[service] {
-		if !upstreams(name) {
+		if !listed(name) {
 			delete(t.services[service], name)
 		}
 	}
@@ -144,9 +145,9 @@
 	}
 }
 
-// CachedTokens returns the number of prompt tokens that an upstream probably needn't
-// read again, for a prompt whose sampled prefixes are given; zero when nothing
-// is known. A deep prefix stands for all of its blocks, also those whose own events are lost.
+// CachedTokens returns the number of prompt tokens that an upstream probably doesn't
+// have to process again, given the sampled prefix hashes of the prompt; zero when
+// unknown. A hint for a prefix covers all of its blocks, including those whose own events were lost.
 func (t *Table) CachedTokens(service, upstream string, prefixes []uint64) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -156,8 +157,8 @@
 		return 0
 	}
 
-	for i := min(len(prefixes), maxSamples) - 1; i >= 0; i-- {
-		if at, ok := h.blocks.Get(prefixes[i]); ok && h.lost-at <= maxDoubt {
+	for i := min(len(prefixes), maxSampleDepths) - 1; i >= 0; i-- {
+		if lostBefore, ok := h.lostEventsWhenStored.Get(prefixes[i]); ok && h.lostEvents-lostBefore <= maxLostEvents {
 			return BlockTokens << i
 		}
 	}
