--- a/internal/orderer/loads_test.go
+++ b/internal/orderer/loads_test.go
@@ -12,12 +12,12 @@
 	"quincepath.example/quincepath/internal/orderer"
 )
 
-// loadsOf returns the times at which loads began at any engine, in order.
-func loadsOf(w *world) []time.Time {
+// loadTimes returns the times at which engines accepted orders to load models, sorted.
+func loadTimes(c *cluster) []time.Time {
 	var times []time.Time
 
-	for _, e := range w.engines {
-		for _, v := range e.took {
+	for _, e := range c.engines {
+		for _, v := range e.applied {
 			if v.order.Kind == orderer.LoadModel {
 				times = append(times, v.at)
 			}
@@ -29,20 +29,20 @@
 	return times
 }
 
-// unshownLoadsOf returns the times at which loads were ordered from engines that did not show the model yet, in order.
-func unshownLoadsOf(w *world, loadTime time.Duration) []time.Time {
+// newLoadTimes returns the times at which engines accepted orders to load a model that was not loaded yet, sorted.
+func newLoadTimes(c *cluster, loadTime time.Duration) []time.Time {
 	var times []time.Time
 
-	for _, e := range w.engines {
-		var shown time.Time
+	for _, e := range c.engines {
+		var loadedAt time.Time
 
-		for _, v := range e.took {
-			if v.order.Kind != orderer.LoadModel || !shown.IsZero() && !v.at.Before(shown) {
+		for _, v := range e.applied {
+			if v.order.Kind != orderer.LoadModel || !loadedAt.IsZero() && !v.at.Before(loadedAt) {
 				continue
 			}
 
 			times = append(times, v.at)
-			shown = times[len(times)-1].Add(loadTime)
+			loadedAt = times[len(times)-1].Add(loadTime)
 		}
 	}
 
@@ -51,9 +51,8 @@
 	return times
 }
 
-// Symptom: the weight store refuses loads, and none of them ends in time.
-// Events: an operator desires a new model at twelve engines at once.
-// Cause: loads that are not spread; all engines fetch the same weights at the same moment.
+// Guards against a weight store that refuses loads, so that none finishes in time. An operator desires a new model at twelve
+// engines; without limits all of them fetch the same weights at once.
 func TestWeightStoreLimits(t *testing.T) {
 	const (
 		perMinute = 6
@@ -61,19 +60,19 @@
 		loadTime  = 45 * time.Second
 	)
 
-	play(t, func(t *testing.T, start func(*node)) {
+	runSimulation(t, func(t *testing.T, start func(*node)) {
 		engines := map[string]*fakeEngine{}
 		for i := range 12 {
-			engines[fmt.Sprintf("e%02d", i)] = &fakeEngine{checks: true, loadTime: loadTime}
+			engines[fmt.Sprintf("e%02d", i)] = &fakeEngine{checksFencing: true, loadTime: loadTime}
 		}
 
-		w := newWorld([]string{"v1"}, engines)
-		w.current.Orders.LoadsPerMinute, w.current.Orders.LoadsAtOnce, w.current.Orders.LoadTimeout = perMinute, atOnce, time.Hour
-		a := w.node("a")
+		c := newCluster([]string{"v1"}, engines)
+		c.current.Orders.LoadsPerMinute, c.current.Orders.LoadsAtOnce, c.current.Orders.LoadTimeout = perMinute, atOnce, time.Hour
+		a := c.node("a")
 		start(a)
 		time.Sleep(10 * time.Minute)
 
-		times := loadsOf(w)
+		times := loadTimes(c)
 		assert.Equal(t, len(times), 12)
 
 		for i, at := range times {
@@ -90,47 +89,44 @@
 	})
 }
 
-// Symptom: a load that an engine lost is never done.
-// Events: the engine takes the order to load and restarts before the model shows.
-// Cause: a load that counts as under way for good.
+// Guards against a load that is never repeated. The engine accepts the order and restarts before the model appears in its
+// state; the load must not stay pending for ever.
 func TestLostLoadIsOrderedAgain(t *testing.T) {
-	play(t, func(t *testing.T, start func(*node)) {
-		w := newWorld([]string{"v1"}, map[string]*fakeEngine{"checks": {checks: true, loadTime: 15 * time.Second}})
-		a := w.node("a")
+	runSimulation(t, func(t *testing.T, start func(*node)) {
+		c := newCluster([]string{"v1"}, map[string]*fakeEngine{"checks": {checksFencing: true, loadTime: 15 * time.Second}})
+		a := c.node("a")
 		start(a)
 		time.Sleep(10 * time.Second)
-		w.change(func() { w.restart("checks") })
+		c.update(func() { c.restart("checks") })
 		time.Sleep(time.Minute)
-		checkModels(t, w, "v1")
-		assert.Equal(t, len(loadsOf(w)), 2)
+		checkModels(t, c, "v1")
+		assert.Equal(t, len(loadTimes(c)), 2)
 		assert.Equal(t, a.counters.ReadBackMismatches.Load(), int64(1))
 	})
 }
 
-// Symptom: an engine that is about to stop fetches weights.
-// Events: the desired models change while an upstream is leaving.
-// Cause: the mark is looked at for requests only.
+// Guards against an engine that loads weights although it is about to stop. The desired models change while the upstream is
+// leaving, which must prevent orders and not only requests.
 func TestLeavingUpstreamGetsNoOrders(t *testing.T) {
-	play(t, func(t *testing.T, start func(*node)) {
-		w := newWorld([]string{"v1"}, both())
-		w.current.Upstreams["checks"] = configurer.Upstream{Name: "checks", ChecksFencing: true, Leaving: true}
-		start(w.node("a"))
-		time.Sleep(converged)
-		assert.DeepEqual(t, w.models("ignores"), []string{"v1"})
-		assert.Equal(t, len(w.engines["checks"].took), 0)
+	runSimulation(t, func(t *testing.T, start func(*node)) {
+		c := newCluster([]string{"v1"}, bothKinds())
+		c.current.Upstreams["checks"] = configurer.Upstream{Name: "checks", ChecksFencing: true, Leaving: true}
+		start(c.node("a"))
+		time.Sleep(convergenceTime)
+		assert.DeepEqual(t, c.models("ignores"), []string{"v1"})
+		assert.Equal(t, len(c.engines["checks"].applied), 0)
 	})
 }
 
-// Symptom: requests for a model fail although a server had it a moment ago.
-// Events: a model is replaced or retired while requests run; loads of the new one take their time.
-// Cause: an unload that does not ask whether another copy is there.
-func TestLastCopyStays(t *testing.T) {
+// Guards against requests that fail because no engine has their model any more. A model is replaced or retired while requests
+// run and the new one is still loading; an unload must check whether another copy exists.
+func TestLastCopyIsNotUnloaded(t *testing.T) {
 	tests := map[string]struct {
-		// desired is each engine's own; a missing one means v2.
+		// desired has the desired models by engine; the default is v2.
 		desired map[string][]string
 		running map[string]int
 		leaving string
-		// want is what the engines hold at the end.
+		// want has the loaded models at the end by engine.
 		want map[string][]string
 	}{
 		"idle":              {want: map[string][]string{"checks": {"v2"}, "other": {"v2"}}},
@@ -145,86 +141,86 @@
 
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			play(t, func(t *testing.T, start func(*node)) {
-				w := newWorld([]string{"v2"}, map[string]*fakeEngine{"checks": {checks: true}, "other": {checks: true}})
-				w.running = tt.running
+			runSimulation(t, func(t *testing.T, start func(*node)) {
+				c := newCluster([]string{"v2"}, map[string]*fakeEngine{"checks": {checksFencing: true}, "other": {checksFencing: true}})
+				c.running = tt.running
 
-				for name, e := range w.engines {
+				for name, e := range c.engines {
 					e.state.Models = []string{"v1"}
-					w.current.Upstreams[name] = configurer.Upstream{
+					c.current.Upstreams[name] = configurer.Upstream{
 						Name: name, ChecksFencing: true, Leaving: name == tt.leaving, Desired: configurer.Desired{Models: tt.desired[name]},
 					}
 				}
 
-				start(w.node("a"))
-				time.Sleep(converged)
+				start(c.node("a"))
+				time.Sleep(convergenceTime)
 
 				for name, want := range tt.want {
-					assert.DeepEqual(t, w.models(name), want)
+					assert.DeepEqual(t, c.models(name), want)
 				}
 			})
 		})
 	}
 }
 
-// Symptom: both copies of a model are gone while one of them was still desired to serve.
-// Events: an unload is answered but takes effect late; the next unload counts that engine as a copy.
-// Cause: a copy whose unload is on its way is relied on.
-func TestLateUnloadIsNoCopy(t *testing.T) {
-	play(t, func(t *testing.T, start func(*node)) {
-		w := newWorld([]string{"v2"}, map[string]*fakeEngine{"checks": {checks: true}, "other": {checks: true}})
-		w.running = map[string]int{"checks": 1, "other": 1}
+// Guards against losing both copies of a model of which one is still needed. An unload is accepted but takes effect late, and
+// the next unload must not count that engine as having a copy.
+func TestPendingUnloadIsNotCountedAsCopy(t *testing.T) {
+	runSimulation(t, func(t *testing.T, start func(*node)) {
+		c := newCluster([]string{"v2"}, map[string]*fakeEngine{"checks": {checksFencing: true}, "other": {checksFencing: true}})
+		c.running = map[string]int{"checks": 1, "other": 1}
 
-		for _, e := range w.engines {
+		for _, e := range c.engines {
 			e.state.Models = []string{"v1", "v2"}
 		}
 
-		a := w.node("a")
-		late := 0
+		a := c.node("a")
+		unloads := 0
 		a.drop = func(order orderer.Order) bool {
 			if order.Kind == orderer.UnloadModel {
-				late++
+				unloads++
 			}
 
 			return order.Kind == orderer.UnloadModel
 		}
 		start(a)
-		time.Sleep(converged)
-		assert.Equal(t, len(w.models("checks"))+len(w.models("other")), 4)
-		w.mu.Lock()
-		defer w.mu.Unlock()
+		time.Sleep(convergenceTime)
+		assert.Equal(t, len(c.models("checks"))+len(c.models("other")), 4)
+		c.mu.Lock()
+		defer c.mu.Unlock()
 
-		assert.Assert(t, late > 1, "the late unload is ordered again")
-		assert.Assert(t, a.dropped["checks"] == 0 || a.dropped["other"] == 0, "both copies were ordered away: %v", a.dropped)
+		assert.Assert(t, unloads > 1, "the unload is ordered again while it is late")
+		assert.Assert(t, a.dropped["checks"] == 0 || a.dropped["other"] == 0, "unloads of both copies were ordered: %v", a.dropped)
 	})
 }
 
-// Guards against a new orderer that doesn't know of its predecessor's loads and exceeds the loads at once with its own.
-func TestLoadsAtOnceHoldThroughAChangeOfTheOrderer(t *testing.T) {
+// Guards against exceeding the limit of concurrent loads after a handover: the new orderer must also count the pending loads
+// of the previous one.
+func TestLoadsAtOnceLimitSurvivesHandover(t *testing.T) {
 	const (
 		atOnce   = 2
 		loadTime = 2 * time.Minute
 	)
 
-	play(t, func(t *testing.T, start func(*node)) {
+	runSimulation(t, func(t *testing.T, start func(*node)) {
 		engines := map[string]*fakeEngine{}
 		for i := range 12 {
-			engines[fmt.Sprintf("e%02d", i)] = &fakeEngine{checks: true, loadTime: loadTime}
+			engines[fmt.Sprintf("e%02d", i)] = &fakeEngine{checksFencing: true, loadTime: loadTime}
 		}
 
-		w := newWorld([]string{"v1"}, engines)
-		w.current.Orders.LoadsPerMinute, w.current.Orders.LoadsAtOnce, w.current.Orders.LoadTimeout = 60, atOnce, 10*time.Minute
-		former, next := w.node("a"), w.node("b")
-		w.change(func() { w.candidate["b"] = false })
+		c := newCluster([]string{"v1"}, engines)
+		c.current.Orders.LoadsPerMinute, c.current.Orders.LoadsAtOnce, c.current.Orders.LoadTimeout = 60, atOnce, 10*time.Minute
+		former, next := c.node("a"), c.node("b")
+		c.update(func() { c.candidate["b"] = false })
 		start(former)
 		start(next)
 		time.Sleep(30 * time.Second)
 
-		w.change(func() { w.candidate["a"], w.candidate["b"] = false, true })
+		c.update(func() { c.candidate["a"], c.candidate["b"] = false, true })
 		time.Sleep(30 * time.Minute)
 
-		// Orders that only show an engine the new fencing number load nothing.
-		times := unshownLoadsOf(w, loadTime)
+		// Excludes orders that only raise the fencing number at an engine and load nothing.
+		times := newLoadTimes(c, loadTime)
 		assert.Equal(t, len(times), 12)
 
 		for i := atOnce; i < len(times); i++ {
--- a/internal/orderer/orderer.go
+++ b/internal/orderer/orderer.go
@@ -14,22 +14,22 @@
 	"quincepath.example/quincepath/internal/sleeper"
 )
 
-// Orderer orders the engines of one service whenever this node is the candidate and holds the lease.
+// Orderer sends orders to the engines of one service while this node is the candidate and holds the lease.
 type Orderer struct {
-	options Options
-	fencer  *fencer.Fencer
-	loads   *loadLimiter
-	// delays holds back orders that failed, by upstream and order.
-	delays map[string]*delay
-	// crashes holds back orders that crash engines, at all of them.
-	crashes crashes
-	// swapping names the upstream that may unload before it loads; empty means that any may.
-	swapping string
-	// seenFencing is the highest fencing number that any engine has shown.
-	seenFencing int64
+	options     Options
+	fencer      *fencer.Fencer
+	loadLimiter *loadLimiter
+	// retries has the retry state of orders that failed, by upstream and order.
+	retries map[string]*retryState
+	// crashes blocks orders that crash engines, for all engines.
+	crashes crashTracker
+	// unloadFirst is the name of the only upstream that may unload before it loads; empty if none has started to.
+	unloadFirst string
+	// highestSeenFencing is the highest fencing number that any engine has reported.
+	highestSeenFencing int64
 }
 
-// New returns an Orderer that does nothing before Run.
+// New returns an Orderer. It makes no calls before Run.
 func New(options Options) *Orderer {
 	options = options.withDefaults()
 
@@ -42,25 +42,25 @@
 			Incarnation: options.Incarnation,
 			CallTimeout: options.CallTimeout,
 		}),
-		delays:  make(map[string]*delay),
-		crashes: make(crashes),
+		retries: make(map[string]*retryState),
+		crashes: make(crashTracker),
 	}
 }
 
-// Run orders until ctx ends. It gives its lease back then.
+// Run acquires terms and sends orders until ctx is done. It releases its lease before it returns.
 func (o *Orderer) Run(ctx context.Context) {
-	failures := newBackOff(longestTakeDelay)
+	failures := newBackOff(maxAcquireDelay)
 
 	for ctx.Err() == nil {
-		service, wanted := o.wanted()
-		if !wanted {
+		service, ok := o.serviceToOrder()
+		if !ok {
 			sleeper.Sleep(ctx, o.options.ReconcileInterval)
 			continue
 		}
 
-		bounds := boundsOf(service)
+		bounds := ordersWithDefaults(service)
 
-		t, err := o.take(ctx, bounds)
+		t, err := o.acquireTerm(ctx, bounds)
 		if errors.Is(err, fencer.ErrLeaseHeld) {
 			sleeper.Sleep(ctx, bounds.Lease/fencer.RenewalsPerLease)
 			continue
@@ -74,15 +74,15 @@
 		failures.Reset()
 		o.options.Counters.TermsAcquired.Add(1)
 		o.options.Counters.ServicesHeld.Add(1)
-		o.hold(ctx, t)
+		o.runTerm(ctx, t)
 		o.options.Counters.ServicesHeld.Add(-1)
-		// After a lost term another node goes first.
+		// Lets another node acquire the lease first after a lost term.
 		sleeper.Sleep(ctx, failures.NextBackOff())
 	}
 }
 
-// wanted says whether this node should order the service's engines.
-func (o *Orderer) wanted() (configurer.Service, bool) {
+// serviceToOrder returns the service, and whether this node should send orders to its engines.
+func (o *Orderer) serviceToOrder() (configurer.Service, bool) {
 	service, ok := o.options.Settings.Service(o.options.Service)
 	if !ok || !o.options.Candidates.IsCandidate(service.Name) {
 		return service, false
@@ -97,31 +97,31 @@
 	return service, false
 }
 
-// hold orders until the term ends or this node is no longer the candidate.
-func (o *Orderer) hold(ctx context.Context, t *term) {
-	work, cancel := context.WithCancel(ctx)
+// runTerm reconciles engines until the term ends or this node should no longer send orders.
+func (o *Orderer) runTerm(ctx context.Context, t *term) {
+	termCtx, cancel := context.WithCancel(ctx)
 
 	var renewing sync.WaitGroup
 
-	renewing.Go(func() { t.Renew(work) })
+	renewing.Go(func() { t.Renew(termCtx) })
 
-	o.loads = newLoadLimiter()
-	if service, wanted := o.wanted(); wanted {
-		o.loads.adopt(t.former, boundsOf(service).LoadTimeout)
+	o.loadLimiter = newLoadLimiter()
+	if service, ok := o.serviceToOrder(); ok {
+		o.loadLimiter.restore(t.previousLoads, ordersWithDefaults(service).LoadTimeout)
 	}
 
-	for t.Valid() && work.Err() == nil {
-		service, wanted := o.wanted()
-		if !wanted {
+	for t.Valid() && termCtx.Err() == nil {
+		service, ok := o.serviceToOrder()
+		if !ok {
 			break
 		}
 
-		pause := o.options.ReconcileInterval
-		if o.round(work, t, service) {
-			pause = orderPause
+		interval := o.options.ReconcileInterval
+		if o.reconcile(termCtx, t, service) {
+			interval = pendingOrdersInterval
 		}
 
-		o.rest(work, max(pause, o.stretch(service)), service)
+		o.waitForNextRound(termCtx, max(interval, o.minReadInterval(service)), service)
 	}
 
 	if !t.Valid() {
@@ -134,70 +134,72 @@
 	t.Release(ctx)
 }
 
-// rest sleeps until the next round, at most an interval longer than until what is desired changes.
-func (o *Orderer) rest(ctx context.Context, length time.Duration, service configurer.Service) {
-	for length > 0 && sleeper.Sleep(ctx, min(length, o.options.ReconcileInterval)) {
-		length -= o.options.ReconcileInterval
+// waitForNextRound sleeps for the remaining time. It returns within ReconcileInterval after a change of the desired state or of
+// the upstreams.
+func (o *Orderer) waitForNextRound(ctx context.Context, remaining time.Duration, service configurer.Service) {
+	for remaining > 0 && sleeper.Sleep(ctx, min(remaining, o.options.ReconcileInterval)) {
+		remaining -= o.options.ReconcileInterval
 
-		now, wanted := o.wanted()
-		if !wanted || !reflect.DeepEqual(now.Desired, service.Desired) || !reflect.DeepEqual(now.Upstreams, service.Upstreams) {
+		now, ok := o.serviceToOrder()
+		if !ok || !reflect.DeepEqual(now.Desired, service.Desired) || !reflect.DeepEqual(now.Upstreams, service.Upstreams) {
 			return
 		}
 	}
 }
 
-// orderPause is the time between two rounds while orders are due.
-const orderPause = 100 * time.Millisecond
+// pendingOrdersInterval is the minimum time between two rounds while orders are due.
+const pendingOrdersInterval = 100 * time.Millisecond
 
-// stretch bounds the reads of engines' states, whatever their number.
-func (o *Orderer) stretch(service configurer.Service) time.Duration {
+// minReadInterval returns the minimum time between two reads of all engines' states, so that the rate of reads doesn't grow
+// with the number of engines.
+func (o *Orderer) minReadInterval(service configurer.Service) time.Duration {
 	return time.Duration(float64(len(service.Upstreams)) / o.options.MaxReadsPerSecond * float64(time.Second))
 }
 
 const (
-	firstDelay = 500 * time.Millisecond
-	// longestTakeDelay is the longest mean time between two attempts to take a lease.
-	longestTakeDelay = 10 * time.Second
-	// longestOrderDelay is the longest mean time between two attempts of an order.
-	longestOrderDelay = 30 * time.Second
+	initialRetryDelay = 500 * time.Millisecond
+	// maxAcquireDelay is the maximum mean delay between two attempts to acquire a lease.
+	maxAcquireDelay = 10 * time.Second
+	// maxOrderRetryDelay is the maximum mean delay between two attempts to send an order.
+	maxOrderRetryDelay = 30 * time.Second
 )
 
-// newBackOff returns delays that grow, each drawn at random from half its mean to one and a half.
-func newBackOff(longest time.Duration) *backoff.ExponentialBackOff {
+// newBackOff returns an exponential backoff. Each delay is random, between half and one and a half times its mean.
+func newBackOff(maxInterval time.Duration) *backoff.ExponentialBackOff {
 	b := backoff.NewExponentialBackOff()
-	b.InitialInterval = firstDelay
-	b.MaxInterval = longest
+	b.InitialInterval = initialRetryDelay
+	b.MaxInterval = maxInterval
 
 	return b
 }
 
-// delay is how long an order that failed is held back.
-type delay struct {
-	until   time.Time
-	backOff *backoff.ExponentialBackOff
+// retryState is the backoff of an order that failed.
+type retryState struct {
+	notBefore time.Time
+	backOff   *backoff.ExponentialBackOff
 }
 
-func (o *Orderer) failed(key string) {
-	d := o.delays[key]
-	if d == nil {
-		d = &delay{backOff: newBackOff(longestOrderDelay)}
-		o.delays[key] = d
+func (o *Orderer) scheduleRetry(key string) {
+	retry := o.retries[key]
+	if retry == nil {
+		retry = &retryState{backOff: newBackOff(maxOrderRetryDelay)}
+		o.retries[key] = retry
 	}
 
-	d.until = time.Now().Add(d.backOff.NextBackOff())
+	retry.notBefore = time.Now().Add(retry.backOff.NextBackOff())
 }
 
-func (o *Orderer) delayed(key string) bool {
-	d := o.delays[key]
+func (o *Orderer) isInBackoff(key string) bool {
+	retry := o.retries[key]
 
-	return d != nil && time.Now().Before(d.until)
+	return retry != nil && time.Now().Before(retry.notBefore)
 }
 
-// forgetDelays drops the delays of orders that are no longer due and can't be on their way any more.
-func (o *Orderer) forgetDelays(longestPause time.Duration) {
-	for k, v := range o.delays {
-		if time.Since(v.until) > longestPause {
-			delete(o.delays, k)
+// pruneRetries drops the retry state of orders that are no longer due and can't still be in transit.
+func (o *Orderer) pruneRetries(longestPause time.Duration) {
+	for k, v := range o.retries {
+		if time.Since(v.notBefore) > longestPause {
+			delete(o.retries, k)
 		}
 	}
 }
--- a/internal/orderer/orderer_test.go
+++ b/internal/orderer/orderer_test.go
@@ -15,41 +15,40 @@
 )
 
 func TestEnginesReachDesiredState(t *testing.T) {
-	play(t, func(t *testing.T, start func(*node)) {
-		w := newWorld([]string{"v1"}, both())
-		w.engines["ignores"].state = orderer.State{Models: []string{"v0"}, Adapters: []string{"old"}}
-		w.current.Desired.Adapters, w.current.Desired.Role = []string{"bagni"}, "decode"
-		n := w.node("a")
+	runSimulation(t, func(t *testing.T, start func(*node)) {
+		c := newCluster([]string{"v1"}, bothKinds())
+		c.engines["ignores"].state = orderer.State{Models: []string{"v0"}, Adapters: []string{"old"}}
+		c.current.Desired.Adapters, c.current.Desired.Role = []string{"bagni"}, "decode"
+		n := c.node("a")
 		start(n)
-		time.Sleep(converged)
+		time.Sleep(convergenceTime)
 
-		checkModels(t, w, "v1")
+		checkModels(t, c, "v1")
 
-		for _, e := range w.engines {
+		for _, e := range c.engines {
 			assert.DeepEqual(t, e.state.Adapters, []string{"bagni"})
 			assert.Equal(t, e.state.Role, "decode")
 		}
 
 		before := n.counters.Sent.Load()
 		time.Sleep(time.Hour)
-		assert.Equal(t, n.counters.Sent.Load(), before, "orders are sent though nothing differs")
+		assert.Equal(t, n.counters.Sent.Load(), before, "orders are sent although the engines have the desired state")
 	})
 }
 
-// Symptom: an engine goes back to a model that was replaced, long after the change.
-// Events: a node decides an order, looks at its lease, and is paused right then; the lease ends, the
-// tree changes, another node brings all engines there; the first wakes and sends its order.
-// Cause: no look at a clock closes the gap between the look and the send; the engine's own check or
-// the later look at the state has to.
+// Guards against an engine that goes back to a replaced model long after the change. A node checks its lease and is paused
+// before it sends an order. The lease ends, the tree changes, and another node brings all engines to the new state. Then the
+// first node resumes and sends its order. No check of a clock can close the gap between check and send, so the engine's own
+// check or a later read of the state has to.
 func TestPausedBetweenCheckAndSend(t *testing.T) {
-	play(t, func(t *testing.T, start func(*node)) {
-		w := newWorld([]string{"v1"}, both())
+	runSimulation(t, func(t *testing.T, start func(*node)) {
+		c := newCluster([]string{"v1"}, bothKinds())
 		wake := make(chan struct{})
 		resume := sync.OnceFunc(func() { close(wake) })
 		defer resume()
 
-		a, b := w.node("a"), w.node("b")
-		w.candidate["b"] = false
+		a, b := c.node("a"), c.node("b")
+		c.candidate["b"] = false
 
 		a.beforeSend = func(order orderer.Order, _ int64) {
 			if order.Name == "v1" {
@@ -65,35 +64,34 @@
 			return keeper.Verdict{}
 		}
 		start(a)
-		time.Sleep(lease + pause - time.Second)
-		w.desire("v2")
-		w.change(func() { w.candidate["a"], w.candidate["b"] = false, true })
+		time.Sleep(lease + longestPause - time.Second)
+		c.setDesiredModels("v2")
+		c.update(func() { c.candidate["a"], c.candidate["b"] = false, true })
 		start(b)
-		time.Sleep(converged)
-		checkModels(t, w, "v2")
+		time.Sleep(convergenceTime)
+		checkModels(t, c, "v2")
 
 		resume()
-		time.Sleep(converged)
+		time.Sleep(convergenceTime)
 
-		checkModels(t, w, "v2")
-		checkOrder(t, "checks", w.engines["checks"])
-		assert.Equal(t, w.engines["checks"].refused, 1)
+		checkModels(t, c, "v2")
+		checkNumbersAscend(t, "checks", c.engines["checks"])
+		assert.Equal(t, c.engines["checks"].refused, 1)
 		assert.Equal(t, a.counters.RefusedByFencing.Load(), int64(1))
 	})
 }
 
-// Symptom: an engine that ignores numbers changes to the old model and back again.
-// Events: as above, but the pause is shorter than the longest that is allowed for.
-// Cause: the new orderer sends before the earlier orderer's last order can have arrived.
+// Guards against an engine that ignores fencing numbers changing to the old model and back. As above, but the pause is not
+// longer than allowed for: the new orderer must not send orders before the last order of the earlier one can have arrived.
 func TestPauseAllowedForIsWaitedOut(t *testing.T) {
-	play(t, func(t *testing.T, start func(*node)) {
-		w := newWorld([]string{"v1"}, map[string]*fakeEngine{"ignores": {}})
-		a, b := w.node("a"), w.node("b")
-		w.candidate["b"] = false
-		a.beforeSend = func(orderer.Order, int64) { time.Sleep(lease + pause) }
+	runSimulation(t, func(t *testing.T, start func(*node)) {
+		c := newCluster([]string{"v1"}, map[string]*fakeEngine{"ignores": {}})
+		a, b := c.node("a"), c.node("b")
+		c.candidate["b"] = false
+		a.beforeSend = func(orderer.Order, int64) { time.Sleep(lease + longestPause) }
 		a.faults = func(_ context.Context, call keeper.Call) keeper.Verdict {
 			if call.Kind == "keepalive" && a.counters.Sent.Load() > 0 {
-				time.Sleep(lease + pause)
+				time.Sleep(lease + longestPause)
 			}
 
 			return keeper.Verdict{}
@@ -104,26 +102,25 @@
 			time.Sleep(100 * time.Millisecond)
 		}
 
-		w.desire("v2")
-		w.change(func() { w.candidate["a"], w.candidate["b"] = false, true })
+		c.setDesiredModels("v2")
+		c.update(func() { c.candidate["a"], c.candidate["b"] = false, true })
 		start(b)
-		time.Sleep(converged)
+		time.Sleep(convergenceTime)
 
-		checkModels(t, w, "v2")
-		assert.Equal(t, len(w.engines["ignores"].took), 3, "load v1, load v2, unload v1")
-		checkOrder(t, "ignores", w.engines["ignores"])
+		checkModels(t, c, "v2")
+		assert.Equal(t, len(c.engines["ignores"].applied), 3, "load v1, load v2, unload v1")
+		checkNumbersAscend(t, "ignores", c.engines["ignores"])
 	})
 }
 
-// Symptom: orders of a node whose lease ended long ago.
-// Events: the node is paused after it read the engines, and wakes after its lease.
-// Cause: it sends what it decided without a new look at its clock.
+// Guards against orders of a node whose lease ended long ago. The node is paused after it has read the engines and resumes
+// after the end of its lease. It must check its clock again before it sends.
 func TestPausedBeforeCheckSendsNothing(t *testing.T) {
-	play(t, func(t *testing.T, start func(*node)) {
-		w := newWorld(nil, map[string]*fakeEngine{"checks": {checks: true}})
-		w.current.Desired.Role = "decode"
-		a := w.node("a")
-		a.beforeCheck = func() {
+	runSimulation(t, func(t *testing.T, start func(*node)) {
+		c := newCluster(nil, map[string]*fakeEngine{"checks": {checksFencing: true}})
+		c.current.Desired.Role = "decode"
+		a := c.node("a")
+		a.afterStateRead = func() {
 			time.Sleep(2 * lease)
 		}
 		a.faults = func(_ context.Context, call keeper.Call) keeper.Verdict {
@@ -135,23 +132,22 @@
 		}
 		start(a)
 		time.Sleep(2*lease + time.Second)
-		w.change(func() { w.candidate["a"] = false })
+		c.update(func() { c.candidate["a"] = false })
 		time.Sleep(2 * lease)
 
-		assert.Equal(t, len(a.sent), 0)
+		assert.Equal(t, len(a.sentNumbers), 0)
 		assert.Equal(t, a.counters.NotSent.Load(), int64(1))
 	})
 }
 
-// Symptom: an engine that checks numbers takes an order of an earlier orderer all the same.
-// Events: the order is on its way while the next orderer takes over and finds nothing to order.
-// Cause: the engine has not seen the new number.
-func TestNextOrdererShowsItsNumber(t *testing.T) {
-	play(t, func(t *testing.T, start func(*node)) {
-		w := newWorld([]string{"v1", "v2"}, map[string]*fakeEngine{"checks": {checks: true}})
-		w.engines["checks"].state.Models = []string{"v1"}
-		a, b := w.node("a"), w.node("b")
-		w.candidate["b"] = false
+// Guards against an engine that checks fencing numbers but accepts an order of an earlier orderer. The order is in transit
+// while the next orderer takes over and has no orders due, so that the engine has not seen the new number.
+func TestNewOrdererRaisesFencingNumber(t *testing.T) {
+	runSimulation(t, func(t *testing.T, start func(*node)) {
+		c := newCluster([]string{"v1", "v2"}, map[string]*fakeEngine{"checks": {checksFencing: true}})
+		c.engines["checks"].state.Models = []string{"v1"}
+		a, b := c.node("a"), c.node("b")
+		c.candidate["b"] = false
 		a.beforeSend = func(orderer.Order, int64) { time.Sleep(10 * lease) }
 		a.faults = func(_ context.Context, call keeper.Call) keeper.Verdict {
 			if call.Kind == "keepalive" {
@@ -163,138 +159,134 @@
 		start(a)
 		time.Sleep(lease)
 		assert.Equal(t, a.counters.Sent.Load(), int64(1))
-		w.desire("v1")
-		w.change(func() { w.candidate["a"], w.candidate["b"] = false, true })
+		c.setDesiredModels("v1")
+		c.update(func() { c.candidate["a"], c.candidate["b"] = false, true })
 		start(b)
 		time.Sleep(20 * lease)
 
-		checkModels(t, w, "v1")
-		assert.Equal(t, w.engines["checks"].refused, 1)
-		assert.Equal(t, len(w.engines["checks"].took), 1)
+		checkModels(t, c, "v1")
+		assert.Equal(t, c.engines["checks"].refused, 1)
+		assert.Equal(t, len(c.engines["checks"].applied), 1)
 	})
 }
 
-// restart puts an engine back to nothing.
-func (w *world) restart(name string) {
-	w.engines[name].state = orderer.State{}
+// restart makes an engine lose its state.
+func (c *cluster) restart(name string) {
+	c.engines[name].state = orderer.State{}
 }
 
-// Symptom: an engine that came back serves nothing until somebody notices.
-// Events: an engine restarts and holds nothing.
-// Cause: orders that are steps, sent once, instead of a state that is looked at again.
+// Guards against an engine that serves nothing after a restart, which loses its state. Orders that were sent once as steps
+// would not be repeated; a desired state that is compared again in each round is restored.
 func TestRestartedEngineIsOrderedAgain(t *testing.T) {
-	play(t, func(t *testing.T, start func(*node)) {
-		w := newWorld([]string{"v1"}, both())
-		start(w.node("a"))
-		time.Sleep(converged)
-		w.change(func() { w.restart("checks"); w.restart("ignores") })
+	runSimulation(t, func(t *testing.T, start func(*node)) {
+		c := newCluster([]string{"v1"}, bothKinds())
+		start(c.node("a"))
+		time.Sleep(convergenceTime)
+		c.update(func() { c.restart("checks"); c.restart("ignores") })
 		time.Sleep(5 * time.Second)
-		checkModels(t, w, "v1")
+		checkModels(t, c, "v1")
 	})
 }
 
-// Symptom: a swap of models never ends.
-// Events: the engine has no room for the new model beside the old.
-// Cause: the load that fails holds back the unload that would make room.
+// Guards against a model replacement that never finishes. The engine can't hold both models, and the failing load must not
+// block the unload of the old one.
 func TestSwapWithoutRoom(t *testing.T) {
-	play(t, func(t *testing.T, start func(*node)) {
-		w := newWorld([]string{"v2"}, map[string]*fakeEngine{"checks": {checks: true, room: 1}})
-		w.engines["checks"].state.Models = []string{"v1"}
-		start(w.node("a"))
-		time.Sleep(converged)
-		checkModels(t, w, "v2")
+	runSimulation(t, func(t *testing.T, start func(*node)) {
+		c := newCluster([]string{"v2"}, map[string]*fakeEngine{"checks": {checksFencing: true, maxModels: 1}})
+		c.engines["checks"].state.Models = []string{"v1"}
+		start(c.node("a"))
+		time.Sleep(convergenceTime)
+		checkModels(t, c, "v2")
 	})
 }
 
-// Symptom: one server after the other stops serving although nothing was taken from service.
-// Events: an operator mistypes the name of a new model; no engine can load it.
-// Cause: each engine makes room for what never comes.
+// Guards against engines that stop serving one after the other. An operator mistypes the name of a new model, which no engine
+// can load, and each engine unloads the old model to make room for it.
 func TestModelThatCannotBeLoadedEmptiesOneEngine(t *testing.T) {
-	play(t, func(t *testing.T, start func(*node)) {
+	runSimulation(t, func(t *testing.T, start func(*node)) {
 		engines := map[string]*fakeEngine{}
 		for _, name := range []string{"e1", "e2", "e3", "e4"} {
-			engines[name] = &fakeEngine{checks: true, room: 1, state: orderer.State{Models: []string{"v1"}}, unknown: "typo"}
+			engines[name] = &fakeEngine{checksFencing: true, maxModels: 1, state: orderer.State{Models: []string{"v1"}}, invalidModel: "typo"}
 		}
 
-		w := newWorld([]string{"typo"}, engines)
-		start(w.node("a"))
+		c := newCluster([]string{"typo"}, engines)
+		start(c.node("a"))
 		time.Sleep(time.Hour)
 
 		left := 0
 		for name := range engines {
-			left += len(w.models(name))
+			left += len(c.models(name))
 		}
 
 		assert.Equal(t, left, 3)
 
-		w.desire("v2")
+		c.setDesiredModels("v2")
 		time.Sleep(10 * time.Minute)
-		checkModels(t, w, "v2")
+		checkModels(t, c, "v2")
 	})
 }
 
-// What ordering costs while nothing changes, by the default bounds: one holder of 32 engines, one
-// node that waits for the lease, and one that is no candidate.
+// Counts the calls in an hour without changes, with the default settings: of the holder for 32 engines, of a node that waits
+// for the lease, and of one that isn't a candidate.
 func TestCallsOfAQuietHour(t *testing.T) {
-	play(t, func(t *testing.T, start func(*node)) {
+	runSimulation(t, func(t *testing.T, start func(*node)) {
 		engines := map[string]*fakeEngine{}
 		for i := range 32 {
-			engines[fmt.Sprintf("e%02d", i)] = &fakeEngine{checks: true}
+			engines[fmt.Sprintf("e%02d", i)] = &fakeEngine{checksFencing: true}
 		}
 
-		w := newWorld([]string{"v1"}, engines)
-		w.current.Orders = configurer.Orders{}
+		c := newCluster([]string{"v1"}, engines)
+		c.current.Orders = configurer.Orders{}
 		calls := map[string]map[string]int{}
 
 		for _, name := range []string{"holds", "waits", "looks on"} {
-			n := w.node(name)
-			w.change(func() {
-				w.candidate[name] = name != "looks on"
+			n := c.node(name)
+			c.update(func() {
+				c.candidate[name] = name != "looks on"
 				calls[name] = map[string]int{}
 			})
 			n.faults = func(_ context.Context, call keeper.Call) keeper.Verdict {
-				w.change(func() { calls[name][call.Kind]++ })
+				c.update(func() { calls[name][call.Kind]++ })
 
 				return keeper.Verdict{}
 			}
-			n.beforeCheck = func() { w.change(func() { calls[name]["state"]++ }) }
+			n.afterStateRead = func() { c.update(func() { calls[name]["state"]++ }) }
 			start(n)
 			time.Sleep(time.Second)
 		}
 
 		time.Sleep(time.Hour)
 
-		w.change(func() {
+		c.update(func() {
 			for _, v := range calls {
 				clear(v)
 			}
 		})
 		time.Sleep(time.Hour)
-		w.mu.Lock()
-		defer w.mu.Unlock()
+		c.mu.Lock()
+		defer c.mu.Unlock()
 
 		assert.Equal(t, fmt.Sprint(calls), "map[holds:map[keepalive:1080 state:14400] looks on:map[] waits:map[get:1080]]")
 	})
 }
 
-// Symptom: a change of the tree takes the longer the more engines a service has.
-// Events: the desired state changes right after a look at forty engines, of which a few are read a second.
-// Cause: the orderer sleeps until its next look whatever happens.
+// Guards against changes of the tree that take longer the more engines a service has. The desired state changes right after
+// forty engines were read, at a limited rate of reads. The orderer must not sleep until the next round in spite of the change.
 func TestChangeWakesOrderer(t *testing.T) {
-	play(t, func(t *testing.T, start func(*node)) {
+	runSimulation(t, func(t *testing.T, start func(*node)) {
 		engines := map[string]*fakeEngine{}
 		for i := range 40 {
-			engines[fmt.Sprintf("e%02d", i)] = &fakeEngine{checks: true, state: orderer.State{Role: "decode", HighestFencing: 1}}
+			engines[fmt.Sprintf("e%02d", i)] = &fakeEngine{checksFencing: true, state: orderer.State{Role: "decode", HighestFencing: 1}}
 		}
 
-		w := newWorld(nil, engines)
-		w.current.Desired.Role = "decode"
-		start(w.node("a"))
+		c := newCluster(nil, engines)
+		c.current.Desired.Role = "decode"
+		start(c.node("a"))
 		time.Sleep(100*time.Second + time.Millisecond)
-		w.change(func() { w.current.Desired.Role = "prefill" })
+		c.update(func() { c.current.Desired.Role = "prefill" })
 		time.Sleep(2 * time.Second)
-		w.mu.Lock()
-		defer w.mu.Unlock()
+		c.mu.Lock()
+		defer c.mu.Unlock()
 
 		for _, e := range engines {
 			assert.Equal(t, e.state.Role, "prefill")
--- a/internal/orderer/planner.go
+++ b/internal/orderer/planner.go
@@ -7,48 +7,48 @@
 	"quincepath.example/quincepath/internal/configurer"
 )
 
-// engine is one upstream with what it holds and what it should hold.
+// engine is an upstream with its desired and its reported state.
 type engine struct {
 	upstream configurer.Upstream
 	desired  configurer.Desired
 	state    State
 }
 
-// planned is an order that is due at an upstream.
-type planned struct {
+// plannedOrder is an order for an engine.
+type plannedOrder struct {
 	engine engine
 	order  Order
 }
 
-func (p planned) key() string {
+func (p plannedOrder) key() string {
 	return p.engine.upstream.Name + " " + string(p.order.Kind) + " " + p.order.Name
 }
 
-// differences returns the orders that bring the engine into its desired state. Loads come
-// first, so that a swap never leaves a moment without the old and the new model.
-func (e engine) differences() []Order {
+// dueOrders returns the orders that bring the engine into its desired state. Loads precede unloads, so that the engine has
+// the old or the new model at any time while one replaces the other.
+func (e engine) dueOrders() []Order {
 	var orders []Order
 
 	if e.desired.Role != "" && e.desired.Role != e.state.Role {
 		orders = append(orders, Order{Kind: SetRole, Name: e.desired.Role})
 	}
 
-	orders = append(orders, missing(LoadModel, e.desired.Models, e.state.Models)...)
-	orders = append(orders, missing(LoadAdapter, e.desired.Adapters, e.state.Adapters)...)
+	orders = append(orders, ordersForMissing(LoadModel, e.desired.Models, e.state.Models)...)
+	orders = append(orders, ordersForMissing(LoadAdapter, e.desired.Adapters, e.state.Adapters)...)
 
 	if e.desired.Adapters != nil {
-		orders = append(orders, missing(UnloadAdapter, e.state.Adapters, e.desired.Adapters)...)
+		orders = append(orders, ordersForMissing(UnloadAdapter, e.state.Adapters, e.desired.Adapters)...)
 	}
 
 	if e.desired.Models != nil {
-		orders = append(orders, missing(UnloadModel, e.state.Models, e.desired.Models)...)
+		orders = append(orders, ordersForMissing(UnloadModel, e.state.Models, e.desired.Models)...)
 	}
 
 	return orders
 }
 
-// missing returns an order for each name of want that have lacks.
-func missing(kind Kind, want, have []string) []Order {
+// ordersForMissing returns an order for each name that is in want but not in have, sorted by name.
+func ordersForMissing(kind Kind, want, have []string) []Order {
 	var orders []Order
 
 	for _, name := range slices.Sorted(slices.Values(want)) {
@@ -60,8 +60,8 @@
 	return orders
 }
 
-// shows says whether the state has the order's effect.
-func (s State) shows(order Order) bool {
+// reflects reports whether the state has the order's effect.
+func (s State) reflects(order Order) bool {
 	switch order.Kind {
 	case LoadModel:
 		return slices.Contains(s.Models, order.Name)
@@ -76,28 +76,28 @@
 	}
 }
 
-// planner chooses the next order of each engine.
+// planner chooses the next order for each engine.
 type planner struct {
 	orderer *Orderer
 	bounds  configurer.Orders
 	engines []engine
-	// copies counts the staying engines that hold what an unload would remove.
+	// copies has, for each unload, the number of engines that have what it would remove and are not leaving.
 	copies map[Order]int
-	// desired has what any staying engine is to hold, whether it answers or not.
+	// desired has the unloads of all that is desired at any upstream that is not leaving, whether it responds or not.
 	desired map[Order]bool
 }
 
 func (o *Orderer) newPlanner(service configurer.Service, engines []engine) *planner {
 	p := &planner{
 		orderer: o,
-		bounds:  boundsOf(service),
+		bounds:  ordersWithDefaults(service),
 		engines: engines,
 		copies:  make(map[Order]int),
 		desired: make(map[Order]bool),
 	}
 
 	for _, e := range engines {
-		p.count(e)
+		p.countCopies(e)
 	}
 
 	for _, upstream := range service.Upstreams {
@@ -106,7 +106,7 @@
 			continue
 		}
 
-		for _, order := range unloads(desired.Models, desired.Adapters) {
+		for _, order := range unloadOrders(desired.Models, desired.Adapters) {
 			p.desired[order] = true
 		}
 	}
@@ -114,36 +114,36 @@
 	return p
 }
 
-// count adds an engine's copies. One whose unload was ordered and is not yet shown is no copy
-// to rely on: the order may take effect late, and with it the last copy would be gone.
-func (p *planner) count(e engine) {
+// countCopies adds an engine's copies. A copy whose unload was ordered and is not yet reflected doesn't count: the order may
+// take effect late, and could then remove the last copy.
+func (p *planner) countCopies(e engine) {
 	if e.upstream.Leaving {
 		return
 	}
 
-	for _, order := range unloads(e.state.Models, e.state.Adapters) {
-		if p.orderer.delays[planned{e, order}.key()] == nil {
+	for _, order := range unloadOrders(e.state.Models, e.state.Adapters) {
+		if p.orderer.retries[plannedOrder{e, order}.key()] == nil {
 			p.copies[order]++
 		}
 	}
 }
 
-// unloads returns the orders that would remove all of these.
-func unloads(models, adapters []string) []Order {
-	return append(missing(UnloadModel, models, nil), missing(UnloadAdapter, adapters, nil)...)
+// unloadOrders returns the orders that unload the given models and adapters.
+func unloadOrders(models, adapters []string) []Order {
+	return append(ordersForMissing(UnloadModel, models, nil), ordersForMissing(UnloadAdapter, adapters, nil)...)
 }
 
 // plan returns at most one order for each engine.
-func (p *planner) plan(ctx context.Context, t *term) []planned {
-	var due []planned
+func (p *planner) plan(ctx context.Context, t *term) []plannedOrder {
+	var due []plannedOrder
 
 	for _, e := range p.engines {
-		// A leaving engine takes nothing new; loads for it would only burden the weight store.
+		// A leaving engine receives no new work; loads would only add load to the weight store.
 		if e.upstream.Leaving || !t.mayOrder(e.upstream) {
 			continue
 		}
 
-		if next, ok := p.next(ctx, t, e); ok {
+		if next, ok := p.nextOrder(ctx, t, e); ok {
 			due = append(due, next)
 		}
 	}
@@ -151,38 +151,39 @@
 	return due
 }
 
-func (p *planner) next(ctx context.Context, t *term, e engine) (planned, bool) {
-	// lacking means that a load has failed.
-	lacking := false
+// nextOrder returns the next order for an engine, if one is due and may be sent now.
+func (p *planner) nextOrder(ctx context.Context, t *term, e engine) (plannedOrder, bool) {
+	// loadFailed is set if a load is deferred after a failure.
+	loadFailed := false
 
-	for _, order := range p.orderer.crashes.order(e.differences()) {
-		next := planned{engine: e, order: order}
+	for _, order := range p.orderer.crashes.sortLoads(e.dueOrders()) {
+		next := plannedOrder{engine: e, order: order}
 
-		if p.orderer.loads.underWay(next.key()) {
+		if p.orderer.loadLimiter.isPending(next.key()) {
 			return next, false
 		}
 
-		// An order that fails does not hold back the next: an engine without room for a
-		// new model has to unload the old one first.
-		if p.orderer.delayed(next.key()) {
-			lacking = lacking || order.loads()
+		// A failed order doesn't block the next one: an engine without memory for a new model has to unload the old one
+		// first.
+		if p.orderer.isInBackoff(next.key()) {
+			loadFailed = loadFailed || order.isLoad()
 			continue
 		}
 
-		if p.orderer.crashes.holds(order) {
+		if p.orderer.crashes.blocks(order) {
 			p.orderer.options.Counters.CrashingDeferred.Add(1)
 
-			lacking = lacking || order.loads()
+			loadFailed = loadFailed || order.isLoad()
 
 			continue
 		}
 
-		if order.unloads() && (!p.maySwap(e, lacking) || !p.mayUnload(ctx, e, order)) {
+		if order.isUnload() && (!p.mayUnloadFirst(e, loadFailed) || !p.mayUnload(ctx, e, order)) {
 			p.orderer.options.Counters.UnloadsDeferred.Add(1)
 			continue
 		}
 
-		if order.loads() && !p.orderer.loads.start(next, p.bounds) {
+		if order.isLoad() && !p.orderer.loadLimiter.tryStart(next, p.bounds) {
 			p.orderer.options.Counters.LoadsDeferred.Add(1)
 			return next, false
 		}
@@ -190,17 +191,17 @@
 		return next, true
 	}
 
-	return p.raiseFencing(t, e)
+	return p.fencingUpdate(t, e)
 }
 
-// raiseFencing shows an engine that checks numbers the one of this term by an order that changes nothing.
-// Until then the engine would still take an order of an earlier term that is on its way.
-func (p *planner) raiseFencing(t *term, e engine) (planned, bool) {
+// fencingUpdate returns an order that changes nothing but raises the fencing number at an engine that checks it. Until then
+// the engine would accept an order of an earlier term that is still in transit.
+func (p *planner) fencingUpdate(t *term, e engine) (plannedOrder, bool) {
 	if !e.upstream.ChecksFencing || e.desired.IsEmpty() || e.state.HighestFencing >= t.Number {
-		return planned{}, false
+		return plannedOrder{}, false
 	}
 
-	next := planned{engine: e}
+	next := plannedOrder{engine: e}
 
 	switch {
 	case e.state.Role != "":
@@ -211,53 +212,53 @@
 		return next, false
 	}
 
-	return next, !p.orderer.delayed(next.key())
+	return next, !p.orderer.isInBackoff(next.key())
 }
 
-// maySwap lets only one engine at a time unload before what it is to hold instead is loaded.
-// Otherwise a mistyped model that no engine can load would empty one engine after the other of
-// the model that serves, down to the last copy.
-func (p *planner) maySwap(e engine, lacking bool) bool {
-	if !lacking {
+// mayUnloadFirst reports whether an engine may unload although a load has failed there. Only one engine at a time may: with
+// a mistyped model that no engine can load, one engine after the other would otherwise unload the model that it serves,
+// down to the last copy.
+func (p *planner) mayUnloadFirst(e engine, loadFailed bool) bool {
+	if !loadFailed {
 		return true
 	}
 
-	if p.orderer.swapping == "" {
-		p.orderer.swapping = e.upstream.Name
+	if p.orderer.unloadFirst == "" {
+		p.orderer.unloadFirst = e.upstream.Name
 	}
 
-	return p.orderer.swapping == e.upstream.Name
+	return p.orderer.unloadFirst == e.upstream.Name
 }
 
-// endSwap lets the next engine unload first once the one that did has all that it is to hold.
-func (o *Orderer) endSwap(service configurer.Service, engines []engine) {
-	upstream, ok := service.Upstreams[o.swapping]
+// updateUnloadFirst lets another engine unload first once the present one has no more loads due, is leaving or was removed.
+func (o *Orderer) updateUnloadFirst(service configurer.Service, engines []engine) {
+	upstream, ok := service.Upstreams[o.unloadFirst]
 	if !ok || upstream.Leaving {
-		o.swapping = ""
+		o.unloadFirst = ""
 	}
 
 	for _, e := range engines {
-		if e.upstream.Name == o.swapping && !slices.ContainsFunc(e.differences(), Order.loads) {
-			o.swapping = ""
+		if e.upstream.Name == o.unloadFirst && !slices.ContainsFunc(e.dueOrders(), Order.isLoad) {
+			o.unloadFirst = ""
 		}
 	}
 }
 
-// busy says whether requests may run on an upstream.
-func (o *Orderer) busy(ctx context.Context, upstream configurer.Upstream) bool {
-	call, cancel := context.WithTimeout(ctx, o.options.CallTimeout)
+// mayHaveRequests reports whether requests may run or wait at an upstream. An upstream that can't be read may have some.
+func (o *Orderer) mayHaveRequests(ctx context.Context, upstream configurer.Upstream) bool {
+	callCtx, cancel := context.WithTimeout(ctx, o.options.CallTimeout)
 	defer cancel()
 
-	running, err := o.options.Engines.ActiveRequests(call, upstream)
+	requests, err := o.options.Engines.ActiveRequests(callCtx, upstream)
 
-	return err != nil || running > 0
+	return err != nil || requests > 0
 }
 
-// mayUnload refuses to remove the last copy of what is still desired somewhere or may still be
-// asked for. Requests in flight can't be told apart by model, so any request counts.
+// mayUnload reports whether an order doesn't remove the last copy of something that is still desired at some upstream or may
+// be in use. Engines don't report which model a request uses, so any request counts as a use.
 func (p *planner) mayUnload(ctx context.Context, e engine, order Order) bool {
 	last := p.copies[order] <= 1
-	if last && (p.desired[order] || p.orderer.busy(ctx, e.upstream)) {
+	if last && (p.desired[order] || p.orderer.mayHaveRequests(ctx, e.upstream)) {
 		return false
 	}
 
--- a/internal/orderer/property_test.go
+++ b/internal/orderer/property_test.go
@@ -13,7 +13,7 @@
 	"quincepath.example/quincepath/internal/standin/keeper"
 )
 
-// event is one fault or change of a schedule.
+// event is a fault or a change in a schedule.
 type event struct {
 	after  time.Duration
 	kind   string
@@ -38,89 +38,91 @@
 	}), 1, 12).Draw(rt, "events")
 }
 
-// pauses stops a node at its next call until a time; calls on their way go on after it.
-type pauses struct {
-	until time.Time
-	lose  int
+// nodeFaults are the faults of one node. The node pauses at its next call until pausedUntil, and calls in transit continue
+// after that. The next disturbedTxns transactions are delayed, and the last of them loses its reply.
+type nodeFaults struct {
+	pausedUntil   time.Time
+	disturbedTxns int
 }
 
-// apply brings an event about.
-func (w *world) apply(e event, faults []*pauses) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// applyEvent applies an event to the cluster.
+func (c *cluster) applyEvent(e event, faults []*nodeFaults) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 
 	switch e.kind {
 	case "pause":
-		faults[e.node].until = time.Now().Add(e.length)
+		faults[e.node].pausedUntil = time.Now().Add(e.length)
 	case "lose":
-		faults[e.node].lose = 2
+		faults[e.node].disturbedTxns = 2
 	case "outage":
-		w.outage = true
-		time.AfterFunc(e.length, func() { w.change(func() { w.outage = false }) })
+		c.outage = true
+		time.AfterFunc(e.length, func() { c.update(func() { c.outage = false }) })
 	case "restart":
-		w.restart(e.engine)
-		// Numbers that the engine forgot may come again.
-		w.engines[e.engine].took = nil
+		c.restart(e.engine)
+		// An engine that has lost its state also accepts lower fencing numbers again.
+		c.engines[e.engine].applied = nil
 	case "desire":
-		w.current.Desired.Models = e.models
+		c.current.Desired.Models = e.models
 	case "candidates":
-		w.candidate["a"], w.candidate["b"] = e.node == 0, e.node == 1
+		c.candidate["a"], c.candidate["b"] = e.node == 0, e.node == 1
 	}
 }
 
-func (n *node) pausedBy(p *pauses) {
+func (n *node) injectFaults(p *nodeFaults) {
 	wait := func() {
 		n.mu.Lock()
-		until := p.until
+		until := p.pausedUntil
 		n.mu.Unlock()
 		time.Sleep(time.Until(until))
 	}
-	n.beforeCheck = wait
+	n.afterStateRead = wait
 	n.beforeSend = func(orderer.Order, int64) { wait() }
 	n.faults = func(_ context.Context, call keeper.Call) keeper.Verdict {
 		wait()
 		n.mu.Lock()
 		defer n.mu.Unlock()
 
-		if call.Kind == "txn" && p.lose > 0 {
-			p.lose--
+		if call.Kind == "txn" && p.disturbedTxns > 0 {
+			p.disturbedTxns--
 
-			return keeper.Verdict{LoseReply: p.lose == 0, DelayBefore: lease / 2}
+			return keeper.Verdict{LoseReply: p.disturbedTxns == 0, DelayBefore: lease / 2}
 		}
 
 		return keeper.Verdict{}
 	}
 }
 
-// Any schedule of pauses, outages, restarts, edits and moves of the candidate: at an engine that
-// checks, numbers never go back; at both kinds the state is the desired one within the stated time.
+// Checks under random schedules of pauses, outages, restarts, lost replies, changes of the desired state and changes of the
+// candidate that fencing numbers never decrease at an engine that checks them, and that both kinds of engines reach the
+// desired state within convergenceTime.
 func TestAnyScheduleEndsInDesiredState(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		events := drawEvents(rt)
 
 		var failure string
 
-		play(t, func(t *testing.T, start func(*node)) {
-			w := newWorld([]string{"v1"}, both())
-			faults := []*pauses{{}, {}}
+		runSimulation(t, func(t *testing.T, start func(*node)) {
+			c := newCluster([]string{"v1"}, bothKinds())
+			faults := []*nodeFaults{{}, {}}
 
 			for i, name := range []string{"a", "b"} {
-				n := w.node(name)
-				n.pausedBy(faults[i])
+				n := c.node(name)
+				n.injectFaults(faults[i])
 				start(n)
 			}
 
 			for _, e := range events {
 				time.Sleep(e.after)
-				w.apply(e, faults)
+				c.applyEvent(e, faults)
 			}
 
-			// The longest fault ends within a minute of the last event.
+			// The longest fault ends within a minute after the last event.
 			time.Sleep(time.Minute)
-			w.change(func() { faults[0].lose, faults[1].lose = 0, 0 })
-			time.Sleep(converged)
+			c.update(func() { faults[0].disturbedTxns, faults[1].disturbedTxns = 0, 0 })
+			time.Sleep(convergenceTime)
 
-			failure = w.fault()
+			failure = c.violation()
 		})
 
 		if failure != "" {
@@ -129,19 +131,19 @@
 	})
 }
 
-// fault says which of the promises is broken, if any.
-func (w *world) fault() string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// violation describes a violated invariant; it is empty if there is none.
+func (c *cluster) violation() string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 
-	for name, e := range w.engines {
-		if want := sorted(w.current.Desired.Models); !slices.Equal(sorted(e.state.Models), want) {
+	for name, e := range c.engines {
+		if want := sorted(c.current.Desired.Models); !slices.Equal(sorted(e.state.Models), want) {
 			return fmt.Sprintf("%s holds %v, desired %v", name, e.state.Models, want)
 		}
 
-		for i := 1; e.checks && i < len(e.took); i++ {
-			if e.took[i].number < e.took[i-1].number {
-				return fmt.Sprintf("%s took %v", name, e.took)
+		for i := 1; e.checksFencing && i < len(e.applied); i++ {
+			if e.applied[i].number < e.applied[i-1].number {
+				return fmt.Sprintf("%s applied %v", name, e.applied)
 			}
 		}
 	}
--- a/internal/orderer/reconciler.go
+++ b/internal/orderer/reconciler.go
@@ -12,49 +12,50 @@
 	"quincepath.example/quincepath/internal/configurer"
 )
 
-// callsAtOnce bounds the calls of engines by one orderer.
-const callsAtOnce = 16
+// maxConcurrentCalls is the maximum number of concurrent calls of one orderer to engines.
+const maxConcurrentCalls = 16
 
-// mayOrder says whether the engine may be ordered yet.
+// mayOrder reports whether orders may be sent to the engine yet.
 //
-// An order of an earlier orderer that was paused, or that is still on its way, takes effect at an
-// engine that ignores numbers whenever it comes. Orders before that time could be undone after
-// they were read back, and stay so until the next look.
+// An engine that ignores fencing numbers applies an order of an earlier orderer whenever it arrives, also late after a pause
+// or in transit. An order sent before ordersAllowedAt could be undone by it after it was read back, and would stay undone
+// until the next round.
 func (t *term) mayOrder(upstream configurer.Upstream) bool {
-	return upstream.ChecksFencing || !time.Now().Before(t.settled)
+	return upstream.ChecksFencing || !time.Now().Before(t.ordersAllowedAt)
 }
 
-// round looks at all engines and sends each at most one order. It says whether more may be due at once.
-func (o *Orderer) round(ctx context.Context, t *term, service configurer.Service) bool {
-	bounds := boundsOf(service)
-	engines := o.read(ctx, service)
+// reconcile reads the states of all engines and sends each at most one order. It reports whether orders were due, so that
+// the next round should follow soon.
+func (o *Orderer) reconcile(ctx context.Context, t *term, service configurer.Service) bool {
+	bounds := ordersWithDefaults(service)
+	engines := o.readEngines(ctx, service)
 
-	if o.outranked(engines, t) {
+	if o.isSuperseded(engines, t) {
 		t.End()
 
 		return false
 	}
 
-	o.loads.setBounds(bounds)
-	o.closeLoads(bounds, engines)
+	o.loadLimiter.setRate(bounds)
+	o.updateLoads(bounds, engines)
 
-	o.endSwap(service, engines)
+	o.updateUnloadFirst(service, engines)
 
-	due := o.withRecordedLoads(ctx, t, o.newPlanner(service, engines).plan(ctx, t))
+	due := o.recordDueLoads(ctx, t, o.newPlanner(service, engines).plan(ctx, t))
 	outcomes := make([]outcome, len(due))
 
-	atOnce(len(due), func(i int) { outcomes[i] = o.carryOut(ctx, t, due[i]) })
+	runConcurrently(len(due), func(i int) { outcomes[i] = o.sendOrder(ctx, t, due[i]) })
 
 	for i, next := range due {
-		o.note(t, next, outcomes[i])
+		o.recordOutcome(t, next, outcomes[i])
 	}
 
 	return len(due) > 0
 }
 
-// withRecordedLoads returns the orders that may leave: loads only once they are written down for the next orderer.
-func (o *Orderer) withRecordedLoads(ctx context.Context, t *term, due []planned) []planned {
-	isLoad := func(p planned) bool { return p.order.loads() }
+// recordDueLoads returns the orders that may be sent. They include loads only if these could be stored for the next orderer.
+func (o *Orderer) recordDueLoads(ctx context.Context, t *term, due []plannedOrder) []plannedOrder {
+	isLoad := func(p plannedOrder) bool { return p.order.isLoad() }
 	if !slices.ContainsFunc(due, isLoad) {
 		return due
 	}
@@ -66,22 +67,22 @@
 	for _, next := range due {
 		if isLoad(next) {
 			o.options.Counters.NotSent.Add(1)
-			o.loads.done(next.key())
+			o.loadLimiter.remove(next.key())
 		}
 	}
 
 	return slices.DeleteFunc(due, isLoad)
 }
 
-// read returns the engines that answer, in order of their names.
-func (o *Orderer) read(ctx context.Context, service configurer.Service) []engine {
+// readEngines returns the engines that respond, sorted by name.
+func (o *Orderer) readEngines(ctx context.Context, service configurer.Service) []engine {
 	names := slices.Sorted(maps.Keys(service.Upstreams))
 	found := make([]*engine, len(names))
 
-	atOnce(len(names), func(i int) {
+	runConcurrently(len(names), func(i int) {
 		upstream := service.Upstreams[names[i]]
 
-		state, err := o.state(ctx, upstream)
+		state, err := o.readState(ctx, upstream)
 		if err == nil {
 			found[i] = &engine{upstream: upstream, desired: service.DesiredOf(upstream), state: state}
 		}
@@ -98,24 +99,25 @@
 	return engines
 }
 
-func (o *Orderer) state(ctx context.Context, upstream configurer.Upstream) (State, error) {
-	call, cancel := context.WithTimeout(ctx, o.options.CallTimeout)
+func (o *Orderer) readState(ctx context.Context, upstream configurer.Upstream) (State, error) {
+	callCtx, cancel := context.WithTimeout(ctx, o.options.CallTimeout)
 	defer cancel()
 
-	return o.options.Engines.State(call, upstream)
+	return o.options.Engines.State(callCtx, upstream)
 }
 
-// atOnce runs do for 0 to count-1, some at a time, and returns when all have ended.
-func atOnce(count int, do func(i int)) {
+// runConcurrently calls do for 0 to count-1, with at most maxConcurrentCalls calls at a time, and returns when all have
+// returned.
+func runConcurrently(count int, do func(i int)) {
 	var group sync.WaitGroup
 
-	free := make(chan struct{}, callsAtOnce)
+	slots := make(chan struct{}, maxConcurrentCalls)
 
 	for i := range count {
-		free <- struct{}{}
+		slots <- struct{}{}
 
 		group.Go(func() {
-			defer func() { <-free }()
+			defer func() { <-slots }()
 
 			do(i)
 		})
@@ -124,114 +126,114 @@
 	group.Wait()
 }
 
-// outranked says whether an engine has seen a higher number than this term's. The next number is
-// taken above it, also when the store has lost the numbers.
-func (o *Orderer) outranked(engines []engine, t *term) bool {
+// isSuperseded reports whether an engine has seen a higher fencing number than this term's. It updates highestSeenFencing, so
+// that the next term's number is above it even if the store has lost its number.
+func (o *Orderer) isSuperseded(engines []engine, t *term) bool {
 	for _, e := range engines {
-		if seen := e.state.HighestFencing; seen < highestLeap {
-			o.seenFencing = max(o.seenFencing, seen)
+		if seen := e.state.HighestFencing; seen < maxExactJSONInteger {
+			o.highestSeenFencing = max(o.highestSeenFencing, seen)
 		}
 	}
 
-	return o.seenFencing > t.Number
+	return o.highestSeenFencing > t.Number
 }
 
-// closeLoads ends the loads that the engines show, and those that have taken too long.
-func (o *Orderer) closeLoads(bounds configurer.Orders, engines []engine) {
+// updateLoads removes pending loads that have finished, were interrupted or are overdue, and updates crashes and retries.
+func (o *Orderer) updateLoads(bounds configurer.Orders, engines []engine) {
 	for _, e := range engines {
 		for _, name := range e.state.Models {
-			o.loads.done(planned{e, Order{LoadModel, name}}.key())
+			o.loadLimiter.remove(plannedOrder{e, Order{LoadModel, name}}.key())
 		}
 
 		for _, name := range e.state.Adapters {
-			o.loads.done(planned{e, Order{LoadAdapter, name}}.key())
+			o.loadLimiter.remove(plannedOrder{e, Order{LoadAdapter, name}}.key())
 		}
 
-		o.crashes.clear(e.state)
+		o.crashes.removeReflected(e.state)
 	}
 
-	o.crashes.keep(engines)
+	o.crashes.retainDue(engines)
 
-	for _, next := range o.loads.broken(engines) {
-		o.crashes.note(next.order, next.engine.upstream.Name)
-		o.failed(next.key())
+	for _, next := range o.loadLimiter.removeInterrupted(engines) {
+		o.crashes.record(next.order, next.engine.upstream.Name)
+		o.scheduleRetry(next.key())
 	}
 
-	o.forgetDelays(bounds.LongestPause)
+	o.pruneRetries(bounds.LongestPause)
 
-	for _, key := range o.loads.overdue(bounds.LoadTimeout) {
+	for _, key := range o.loadLimiter.removeOverdue(bounds.LoadTimeout) {
 		o.options.Counters.ReadBackMismatches.Add(1)
-		o.failed(key)
+		o.scheduleRetry(key)
 	}
 }
 
-// outcome is what became of an order.
+// outcome is the result of sending an order.
 type outcome struct {
 	// sent means that the order may have reached the engine.
 	sent bool
 	err  error
-	// shown means that the state read back has the order's effect, silent that the engine didn't answer any more.
-	shown, silent bool
+	// reflected means that the state read back has the order's effect, unresponsive that it could not be read.
+	reflected, unresponsive bool
 }
 
-// carryOut sends an order, if the term allows it at this very moment, and reads the state back.
-func (o *Orderer) carryOut(ctx context.Context, t *term, next planned) outcome {
-	left := t.Remaining()
-	if left <= 0 {
+// sendOrder sends an order if the term is still valid, and reads the engine's state back.
+func (o *Orderer) sendOrder(ctx context.Context, t *term, next plannedOrder) outcome {
+	remaining := t.Remaining()
+	if remaining <= 0 {
 		o.options.Counters.NotSent.Add(1)
 
 		return outcome{}
 	}
 
-	call, cancel := context.WithTimeout(ctx, min(o.options.CallTimeout, left))
+	callCtx, cancel := context.WithTimeout(ctx, min(o.options.CallTimeout, remaining))
 	defer cancel()
 
 	o.options.Counters.Sent.Add(1)
 
 	got := outcome{sent: true}
-	got.err = o.options.Engines.Send(call, next.engine.upstream, next.order, t.Number)
+	got.err = o.options.Engines.Send(callCtx, next.engine.upstream, next.order, t.Number)
 
-	state, err := o.state(ctx, next.engine.upstream)
-	got.silent = err != nil
-	got.shown = err == nil && state.shows(next.order)
+	state, err := o.readState(ctx, next.engine.upstream)
+	got.unresponsive = err != nil
+	got.reflected = err == nil && state.reflects(next.order)
 
 	return got
 }
 
-// note counts an outcome and holds the order back if it failed.
-func (o *Orderer) note(t *term, next planned, got outcome) {
+// recordOutcome updates the counters, and schedules a retry if the order failed.
+func (o *Orderer) recordOutcome(t *term, next plannedOrder, got outcome) {
 	key := next.key()
 	counters := o.options.Counters
 
 	switch {
 	case !got.sent:
-		o.loads.done(key)
+		o.loadLimiter.remove(key)
 
 		return
 	case errors.Is(got.err, ErrFenced):
 		counters.RefusedByFencing.Add(1)
-		o.loads.done(key)
+		o.loadLimiter.remove(key)
 		t.End()
 
 		return
 	case got.err != nil:
 		counters.SendFailed.Add(1)
-	case !got.shown && !next.order.loads():
+	case !got.reflected && !next.order.isLoad():
 		counters.ReadBackMismatches.Add(1)
 	}
 
-	if got.silent {
-		o.crashes.note(next.order, next.engine.upstream.Name)
+	if got.unresponsive {
+		o.crashes.record(next.order, next.engine.upstream.Name)
 	}
 
 	switch {
-	case got.shown:
-		o.loads.done(key)
-		delete(o.delays, key)
-	case next.order.loads() && got.err == nil:
-		// The engine took the order and still loads.
+	case got.reflected:
+		o.loadLimiter.remove(key)
+		delete(o.retries, key)
+	case next.order.isLoad() && got.err == nil:
+		// The engine accepted the order and is still loading.
 	default:
-		o.failed(key)
-		o.loads.done(key)
+		o.scheduleRetry(key)
+		o.loadLimiter.remove(key)
 	}
 }
--- a/internal/orderer/term.go
+++ b/internal/orderer/term.go
@@ -13,51 +13,51 @@
 
 const keyPrefix = "/quincepath/orderer/"
 
-// highestLeap bounds numbers taken over from engines: JSON numbers are exact up to here.
-const highestLeap = int64(1) << 53
+// maxExactJSONInteger limits the fencing numbers that are accepted from engines: JSON numbers are exact up to this value.
+const maxExactJSONInteger = int64(1) << 53
 
-// term is the time in which this node orders under one fencing number.
+// term is a period in which this node sends orders under one fencing number.
 type term struct {
 	*fencer.Term
 
-	// former are loads that an earlier orderer may have left under way.
-	former []loadRecord
-	// settled is when engines that ignore the number may be ordered.
-	settled time.Time
+	// previousLoads are loads of an earlier orderer that may still be pending.
+	previousLoads []loadRecord
+	// ordersAllowedAt is when orders may be sent to engines that ignore fencing numbers.
+	ordersAllowedAt time.Time
 }
 
 func servicePrefix(service string) string {
 	return keyPrefix + service + "/"
 }
 
-// take begins a term. It returns fencer.ErrLeaseHeld while another node's lease lasts.
-func (o *Orderer) take(ctx context.Context, bounds configurer.Orders) (*term, error) {
-	taken, err := o.fencer.Acquire(ctx, bounds.Lease, o.seenFencing)
+// acquireTerm starts a term. It returns fencer.ErrLeaseHeld while another node holds the lease.
+func (o *Orderer) acquireTerm(ctx context.Context, bounds configurer.Orders) (*term, error) {
+	acquired, err := o.fencer.Acquire(ctx, bounds.Lease, o.highestSeenFencing)
 	if err != nil {
 		return nil, err
 	}
 
-	t := &term{Term: taken}
+	t := &term{Term: acquired}
 
-	t.former, err = o.formerLoads(ctx)
+	t.previousLoads, err = o.readPreviousLoads(ctx)
 	if err != nil {
 		t.Release(ctx)
 
 		return nil, err
 	}
 
-	// The lease key is gone, but a store that lost leases, or whose clock leapt, may have
-	// dropped it early: the earlier orderer's own count is what has to run out.
-	t.settled = time.Now().Add(max(t.PreviousLease, bounds.Lease) + bounds.LongestPause)
+	// The lease key doesn't exist any more, but a store that lost leases, or whose clock jumped, may have deleted it
+	// early. The wait therefore covers a whole lease as the earlier orderer measures it.
+	t.ordersAllowedAt = time.Now().Add(max(t.PreviousLease, bounds.Lease) + bounds.LongestPause)
 
 	return t, nil
 }
 
 func (o *Orderer) get(ctx context.Context, key string) (storer.KeyValue, error) {
-	call, cancel := context.WithTimeout(ctx, o.options.CallTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, o.options.CallTimeout)
 	defer cancel()
 
-	found, _, err := o.options.Store.Get(call, key)
+	found, _, err := o.options.Store.Get(callCtx, key)
 
 	return found, errors.Wrapf(err, "read %s", key)
 }
--- a/internal/orderer/term_test.go
+++ b/internal/orderer/term_test.go
@@ -12,9 +12,9 @@
 	"quincepath.example/quincepath/internal/standin/keeper"
 )
 
-// Symptom: two nodes order the same engines, in turns, with different trees.
-// Events: both think that they are the candidate, and stay so; their calls of the store interleave.
-// Cause: being the candidate, or a read that found no lease, is taken for the right to order.
+// Guards against two nodes that alternately send orders to the same engines, from different trees. Both consider themselves
+// the candidate, and their calls to the store interleave. Neither being the candidate nor a read that found no lease may
+// suffice for sending orders.
 func TestTwoCandidatesOneOrderer(t *testing.T) {
 	slow := func(kind, key string) keeper.Faults {
 		return func(_ context.Context, call keeper.Call) keeper.Verdict {
@@ -33,32 +33,31 @@
 
 	for name, faults := range tests {
 		t.Run(name, func(t *testing.T) {
-			play(t, func(t *testing.T, start func(*node)) {
-				w := newWorld([]string{"v1"}, both())
-				a, b := w.node("a"), w.node("b")
+			runSimulation(t, func(t *testing.T, start func(*node)) {
+				c := newCluster([]string{"v1"}, bothKinds())
+				a, b := c.node("a"), c.node("b")
 				a.faults, b.faults = faults[0], faults[1]
 				start(a)
 				start(b)
-				time.Sleep(converged)
+				time.Sleep(convergenceTime)
 
-				checkModels(t, w, "v1")
+				checkModels(t, c, "v1")
 				assert.Equal(t, a.counters.TermsAcquired.Load()+b.counters.TermsAcquired.Load(), int64(1))
-				assert.Assert(t, len(a.sent) == 0 || len(b.sent) == 0)
+				assert.Assert(t, len(a.sentNumbers) == 0 || len(b.sentNumbers) == 0)
 			})
 		})
 	}
 }
 
-// Symptom: an order leaves after the store has ended the lease.
-// Events: replies of the store come late, then none of its calls arrives.
-// Cause: a lease that is counted from when its reply came.
+// Guards against orders that are sent after the store has ended the lease. Replies of the store are late, and later calls
+// don't reach it. The lease must be measured from before the call and not from its reply.
 func TestLeaseIsCountedFromBeforeTheCall(t *testing.T) {
 	for _, kind := range []string{"grant", "keepalive"} {
 		t.Run(kind, func(t *testing.T) {
-			play(t, func(t *testing.T, start func(*node)) {
-				w := newWorld(nil, map[string]*fakeEngine{"checks": {checks: true}})
-				w.current.Desired.Role = "decode"
-				a := w.node("a")
+			runSimulation(t, func(t *testing.T, start func(*node)) {
+				c := newCluster(nil, map[string]*fakeEngine{"checks": {checksFencing: true}})
+				c.current.Desired.Role = "decode"
+				a := c.node("a")
 				renewals := 0
 				a.faults = func(_ context.Context, call keeper.Call) keeper.Verdict {
 					late := keeper.Verdict{DelayAfter: 1500 * time.Millisecond}
@@ -75,10 +74,10 @@
 				}
 				start(a)
 
-				ended := w.leaseEnd(t)
-				assert.Assert(t, len(w.engines["checks"].took) > 0)
+				ended := c.waitForLeaseEnd(t)
+				assert.Assert(t, len(c.engines["checks"].applied) > 0)
 
-				for _, v := range w.engines["checks"].took {
+				for _, v := range c.engines["checks"].applied {
 					assert.Assert(t, v.number > 1 || v.at.Before(ended))
 				}
 			})
@@ -86,19 +85,20 @@
 	}
 }
 
-// leaseEnd returns when the store's first lease of the service ended. Orders are due all the time until a second later.
-func (w *world) leaseEnd(t *testing.T) time.Time {
+// waitForLeaseEnd returns the time at which the service's first lease in the store ended. It keeps orders due until a
+// second after that.
+func (c *cluster) waitForLeaseEnd(t *testing.T) time.Time {
 	t.Helper()
 
 	var ended time.Time
 
-	// Never at the same moment as an order and its read-back, which come at whole tens.
+	// An offset from multiples of 10 ms, at which orders are sent and read back.
 	time.Sleep(3 * time.Millisecond)
 
 	for seen := false; ended.IsZero() || time.Since(ended) < time.Second; time.Sleep(10 * time.Millisecond) {
-		w.change(func() { w.engines["checks"].state.Role = "" })
+		c.update(func() { c.engines["checks"].state.Role = "" })
 
-		kv, _, err := keeper.NewLocal(w.store, nil).Get(t.Context(), "/quincepath/orderer/"+service+"/lease")
+		kv, _, err := keeper.NewLocal(c.store, nil).Get(t.Context(), "/quincepath/orderer/"+service+"/lease")
 		assert.NilError(t, err)
 
 		if seen = seen || kv.Version > 0; seen && kv.Version == 0 && ended.IsZero() {
@@ -109,10 +109,10 @@
 	return ended
 }
 
-// Symptom: two terms share a fencing number, so that an engine can't tell the old from the new.
-// Events: the transaction that takes the number loses its request or its reply, or is applied late.
-// Cause: a number that is used without knowing that it was taken, or taken twice.
-func TestLostReplyOnTakingNumber(t *testing.T) {
+// Guards against two terms with the same fencing number, between which an engine can't distinguish. The transaction that
+// claims the number loses its request or its reply, or is applied late. A number must not be used without a confirmed claim,
+// nor be claimed twice.
+func TestLostReplyOnClaimingNumber(t *testing.T) {
 	tests := map[string]keeper.Verdict{
 		"request lost":  {LoseRequest: true},
 		"reply lost":    {LoseReply: true},
@@ -123,30 +123,30 @@
 
 	for name, verdict := range tests {
 		t.Run(name, func(t *testing.T) {
-			play(t, func(t *testing.T, start func(*node)) {
-				w := newWorld([]string{"v1"}, both())
-				a, b := w.node("a"), w.node("b")
-				a.faults, b.faults = twice("txn", verdict), twice("txn", verdict)
+			runSimulation(t, func(t *testing.T, start func(*node)) {
+				c := newCluster([]string{"v1"}, bothKinds())
+				a, b := c.node("a"), c.node("b")
+				a.faults, b.faults = firstTwoCalls("txn", verdict), firstTwoCalls("txn", verdict)
 				start(a)
 				start(b)
-				time.Sleep(converged)
+				time.Sleep(convergenceTime)
 
-				checkModels(t, w, "v1")
+				checkModels(t, c, "v1")
 
-				for _, number := range a.sent {
-					for _, other := range b.sent {
+				for _, number := range a.sentNumbers {
+					for _, other := range b.sentNumbers {
 						assert.Assert(t, number != other)
 					}
 				}
 
-				checkOrder(t, "ignores", w.engines["ignores"])
+				checkNumbersAscend(t, "ignores", c.engines["ignores"])
 			})
 		})
 	}
 }
 
-// twice returns a fault of the first two calls of a kind.
-func twice(kind string, verdict keeper.Verdict) keeper.Faults {
+// firstTwoCalls injects a fault into the first two calls of a kind.
+func firstTwoCalls(kind string, verdict keeper.Verdict) keeper.Faults {
 	left := 2
 
 	return func(_ context.Context, call keeper.Call) keeper.Verdict {
@@ -160,93 +160,88 @@
 	}
 }
 
-// Symptom: a node goes on ordering while nobody can know that it does.
-// Events: the platform's store is down for longer than the lease; engines restart meanwhile.
-// Cause: a lease that is taken for granted while it can't be renewed.
+// Guards against a node that keeps sending orders although it can't renew its lease. The platform's store is down for longer
+// than the lease, and engines restart meanwhile.
 func TestOutageEndsOrders(t *testing.T) {
-	play(t, func(t *testing.T, start func(*node)) {
-		w := newWorld([]string{"v1"}, both())
-		a := w.node("a")
+	runSimulation(t, func(t *testing.T, start func(*node)) {
+		c := newCluster([]string{"v1"}, bothKinds())
+		a := c.node("a")
 		start(a)
-		time.Sleep(converged)
-		w.change(func() { w.outage = true })
+		time.Sleep(convergenceTime)
+		c.update(func() { c.outage = true })
 		time.Sleep(lease)
 
-		sent := len(a.sent)
+		sent := len(a.sentNumbers)
 
-		w.change(func() { w.restart("checks"); w.restart("ignores") })
+		c.update(func() { c.restart("checks"); c.restart("ignores") })
 		time.Sleep(time.Hour)
-		assert.Equal(t, len(a.sent), sent)
+		assert.Equal(t, len(a.sentNumbers), sent)
 		assert.Equal(t, a.counters.TermsLost.Load(), int64(1))
 
-		w.change(func() { w.outage = false })
-		time.Sleep(converged)
-		checkModels(t, w, "v1")
-		assert.Equal(t, w.engines["checks"].state.HighestFencing, int64(2))
+		c.update(func() { c.outage = false })
+		time.Sleep(convergenceTime)
+		checkModels(t, c, "v1")
+		assert.Equal(t, c.engines["checks"].state.HighestFencing, int64(2))
 	})
 }
 
-// Symptom: every number taken is refused, and engines stay as they are.
-// Events: the store comes back empty after a loss; the engines remember numbers from before.
-// Cause: numbers that begin at 1 again.
+// Guards against engines that refuse all orders after the store has lost its data. The engines still have the earlier fencing
+// numbers, so numbers must not start at 1 again.
 func TestNumbersLostByStoreAreNotUsedAgain(t *testing.T) {
-	play(t, func(t *testing.T, start func(*node)) {
-		w := newWorld([]string{"v1"}, both())
-		w.engines["checks"].state.HighestFencing = 41
-		start(w.node("a"))
-		time.Sleep(converged)
-		checkModels(t, w, "v1")
-		assert.Equal(t, w.engines["checks"].state.HighestFencing, int64(42))
-		assert.Equal(t, w.engines["checks"].refused, 0)
+	runSimulation(t, func(t *testing.T, start func(*node)) {
+		c := newCluster([]string{"v1"}, bothKinds())
+		c.engines["checks"].state.HighestFencing = 41
+		start(c.node("a"))
+		time.Sleep(convergenceTime)
+		checkModels(t, c, "v1")
+		assert.Equal(t, c.engines["checks"].state.HighestFencing, int64(42))
+		assert.Equal(t, c.engines["checks"].refused, 0)
 	})
 }
 
-// Symptom: an operator's change is not followed while this node is well.
-// Events: the candidate changes; the earlier one lives on.
-// Cause: a lease that is kept by a node that no longer orders.
-func TestFormerCandidateGivesLeaseBack(t *testing.T) {
-	play(t, func(t *testing.T, start func(*node)) {
-		w := newWorld([]string{"v1"}, map[string]*fakeEngine{"checks": {checks: true}})
-		a, b := w.node("a"), w.node("b")
-		w.candidate["b"] = false
+// Guards against changes that are not applied because a node that is no longer the candidate, but still runs, keeps its lease.
+func TestFormerCandidateReleasesLease(t *testing.T) {
+	runSimulation(t, func(t *testing.T, start func(*node)) {
+		c := newCluster([]string{"v1"}, map[string]*fakeEngine{"checks": {checksFencing: true}})
+		a, b := c.node("a"), c.node("b")
+		c.candidate["b"] = false
 		start(a)
 		start(b)
-		time.Sleep(converged)
-		w.change(func() { w.candidate["a"], w.candidate["b"] = false, true })
-		w.desire("v2")
+		time.Sleep(convergenceTime)
+		c.update(func() { c.candidate["a"], c.candidate["b"] = false, true })
+		c.setDesiredModels("v2")
 		time.Sleep(lease)
-		checkModels(t, w, "v2")
+		checkModels(t, c, "v2")
 		assert.Equal(t, a.counters.TermsLost.Load(), int64(0))
 	})
 }
 
 func TestServiceWithoutDesiredStateTakesNoLease(t *testing.T) {
-	play(t, func(t *testing.T, start func(*node)) {
-		w := newWorld(nil, both())
-		a := w.node("a")
+	runSimulation(t, func(t *testing.T, start func(*node)) {
+		c := newCluster(nil, bothKinds())
+		a := c.node("a")
 		start(a)
 		time.Sleep(time.Minute)
 		assert.Equal(t, a.counters.TermsAcquired.Load(), int64(0))
-		assert.Equal(t, w.store.Revision(), int64(1))
-		w.change(func() {
-			w.current.Upstreams["checks"] = configurer.Upstream{Name: "checks", ChecksFencing: true, Desired: configurer.Desired{Role: "decode"}}
+		assert.Equal(t, c.store.Revision(), int64(1))
+		c.update(func() {
+			c.current.Upstreams["checks"] = configurer.Upstream{Name: "checks", ChecksFencing: true, Desired: configurer.Desired{Role: "decode"}}
 		})
 		time.Sleep(time.Minute)
-		assert.Equal(t, w.engines["checks"].state.Role, "decode")
-		assert.Equal(t, len(w.engines["ignores"].took), 0)
+		assert.Equal(t, c.engines["checks"].state.Role, "decode")
+		assert.Equal(t, len(c.engines["ignores"].applied), 0)
 	})
 }
 
-// Symptom: an engine refuses every order, for good.
-// Events: the store has lost the numbers; the engine checks them but does not tell the highest.
-// Cause: a refusal that does not end the term, so that no higher number is taken.
+// Guards against an engine that refuses all orders permanently. The store has lost its fencing number, and the engine checks
+// numbers but doesn't report the highest. A refusal must end the term, so that the next one has a higher number.
 func TestRefusalEndsTerm(t *testing.T) {
-	play(t, func(t *testing.T, start func(*node)) {
-		w := newWorld([]string{"v1"}, map[string]*fakeEngine{"checks": {checks: true, hidesNumber: true}})
-		w.engines["checks"].state.HighestFencing = 3
-		start(w.node("a"))
-		time.Sleep(converged)
-		checkModels(t, w, "v1")
-		assert.Equal(t, w.engines["checks"].refused, 2)
+	runSimulation(t, func(t *testing.T, start func(*node)) {
+		c := newCluster([]string{"v1"}, map[string]*fakeEngine{"checks": {checksFencing: true, hidesFencing: true}})
+		c.engines["checks"].state.HighestFencing = 3
+		start(c.node("a"))
+		time.Sleep(convergenceTime)
+		checkModels(t, c, "v1")
+		assert.Equal(t, c.engines["checks"].refused, 2)
 	})
 }
--- a/internal/orderer/types.go
+++ b/internal/orderer/types.go
@@ -1,14 +1,11 @@
-// Package orderer brings engines into the state that the settings tree desires:
-// models, adapters and role.
+// Package orderer reconciles engines with the desired state in the settings tree: models, adapters and role.
 //
-// One node at a time orders the engines of a service, under a lease of the
-// platform and with a fencing number that only grows. A lease can end while its
-// holder is paused, and the holder may then act as if it still had it. Three
-// things guard against that: the holder looks at its own clock before each
-// order; an engine that checks the number refuses the orders of earlier
-// holders; and, for engines that ignore it, orders are desired states that a
-// later holder reads back and corrects, after it has waited out the longest
-// pause allowed for. Nothing of serving depends on any of it.
+// One node at a time sends orders to the engines of a service. It holds a lease in the platform's store and a fencing
+// number that increases monotonically. A lease can expire while its holder is paused, and the holder may then act as if it
+// still had it. Three mechanisms guard against that: the holder checks its own clock before each order; an engine that
+// checks fencing numbers refuses the orders of earlier holders; and for engines that ignore the number, orders are desired
+// states, which a later holder reads back and corrects after it has waited for the longest pause that is allowed for.
+// Serving requests doesn't depend on this package.
 package orderer
 
 import (
@@ -23,13 +20,13 @@
 	"quincepath.example/quincepath/internal/storer"
 )
 
-// ErrFenced means that an engine has seen a higher fencing number.
+// ErrFenced means that an engine refused an order because it has seen a higher fencing number.
 var ErrFenced = errors.New("the engine refused the fencing number")
 
-// Kind names what an order changes.
+// Kind is the kind of an order: what it changes and how.
 type Kind string
 
-// Kinds of orders, in the words of the engines.
+// Kinds of orders, with their names in the engines' interface.
 const (
 	LoadModel     Kind = "load_model"
 	UnloadModel   Kind = "unload_model"
@@ -38,78 +35,80 @@
 	SetRole       Kind = "set_role"
 )
 
-// Order is one idempotent change of an engine's state.
+// Order is an idempotent change of an engine's state.
 type Order struct {
 	Kind Kind
-	// Name is the model, the adapter or the role.
+	// Name is the name of the model, adapter or role.
 	Name string
 }
 
-func (o Order) loads() bool {
+func (o Order) isLoad() bool {
 	return o.Kind == LoadModel || o.Kind == LoadAdapter
 }
 
-func (o Order) unloads() bool {
+func (o Order) isUnload() bool {
 	return o.Kind == UnloadModel || o.Kind == UnloadAdapter
 }
 
-// State is what an engine says that it holds.
+// State is the state that an engine reports: what it has loaded, and its role.
 type State struct {
 	Models   []string
 	Adapters []string
 	Role     string
-	// HighestFencing is the highest fencing number that the engine has seen; 0 when it does not tell.
+	// HighestFencing is the highest fencing number that the engine has seen; 0 if it doesn't report it.
 	HighestFencing int64
 }
 
-// Engines reads engines and sends them orders.
+// Engines reads the states of engines and sends them orders.
 type Engines interface {
 	State(ctx context.Context, upstream configurer.Upstream) (State, error)
-	// ActiveRequests returns the number of requests that run or wait at the engine, all nodes' together.
+	// ActiveRequests returns the number of requests that run or wait at the engine, from all nodes.
 	ActiveRequests(ctx context.Context, upstream configurer.Upstream) (int, error)
-	// Send returns ErrFenced for an order that the engine refused for its number.
-	// Any other error leaves open whether the order takes effect, now or later.
-	Send(ctx context.Context, upstream configurer.Upstream, order Order, number int64) error
+	// Send returns ErrFenced if the engine refused the order for its fencing number. After any other error the order may
+	// or may not take effect, now or later.
+	Send(ctx context.Context, upstream configurer.Upstream, order Order, fencingNumber int64) error
 }
 
-// Settings gives the service as the settings tree in force has it.
+// Settings returns services from the settings tree in force.
 type Settings interface {
 	Service(name string) (configurer.Service, bool)
 }
 
-// Candidates says whether this node is the one that should order a service's
-// engines. It only avoids contention: two candidates break nothing.
+// Candidates reports whether this node is the one that should send orders to a service's engines. It only avoids
+// contention: correctness doesn't depend on there being one candidate.
 type Candidates interface {
 	IsCandidate(service string) bool
 }
 
-// Counters count what orderers do. They may be shared.
+// Counters are counters of orderers. Several orderers may share them.
 type Counters struct {
-	// Sent counts orders that left, RefusedByFencing those of them that an engine refused for the number.
+	// Sent counts orders sent, RefusedByFencing those of them that an engine refused for the fencing number.
 	Sent             atomic.Int64
 	RefusedByFencing atomic.Int64
-	// SendFailed counts orders without a good answer; ReadBackDiffered those that the engine's state did not show.
+	// SendFailed counts orders that failed or got no response. ReadBackMismatches counts orders that were accepted but not
+	// reflected in the engine's state, and loads that timed out.
 	SendFailed         atomic.Int64
 	ReadBackMismatches atomic.Int64
-	// NotSent counts orders that were due when the lease had ended.
+	// NotSent counts orders that were due but not sent: the lease had ended, or the loads could not be recorded.
 	NotSent atomic.Int64
-	// LoadsDeferred counts looks at a load that the weight store's limits held back.
+	// LoadsDeferred counts how often a load was deferred by the limits for the weight store.
 	LoadsDeferred atomic.Int64
-	// CrashingDeferred counts looks at an order that was held back since engines went down under it.
+	// CrashingDeferred counts how often an order was deferred because it crashes engines.
 	CrashingDeferred atomic.Int64
-	// UnloadsDeferred counts looks at an unload that would have removed the last copy.
+	// UnloadsDeferred counts how often an unload was deferred: it would have removed the last copy, or another engine was
+	// unloading before it loads.
 	UnloadsDeferred atomic.Int64
-	// ServicesHeld is the number of services that are ordered now.
+	// ServicesHeld is the number of services for which a term is held now.
 	ServicesHeld atomic.Int64
-	// TermsAcquired counts fencing numbers taken, TermsLost leases that ended before they were given up.
+	// TermsAcquired counts terms acquired, TermsLost those that ended before they were released.
 	TermsAcquired atomic.Int64
 	TermsLost     atomic.Int64
 }
 
-// Options are the parts and fixed settings of an Orderer. A zero duration or rate means its default.
+// Options configures an Orderer. A zero duration or rate means its default.
 type Options struct {
 	Service string
-	// Node and Incarnation name this run of this node; no two runs share both.
+	// Node and Incarnation identify this run of this node; no two runs have both in common.
 	Node        string
 	Incarnation string
 
@@ -119,15 +118,16 @@
 	Candidates Candidates
 	Counters   *Counters
 
-	// CallTimeout bounds one call of the store or of an engine; 2 s by default.
+	// CallTimeout is the timeout of one call to the store or to an engine; 2 s by default.
 	CallTimeout time.Duration
-	// ReconcileInterval is the time between two looks at all engines; 2 s by default.
+	// ReconcileInterval is the time between two rounds of reconciliation; 2 s by default.
 	ReconcileInterval time.Duration
-	// MaxReadsPerSecond stretches ReconcileInterval for services with many engines; 4 by default.
+	// MaxReadsPerSecond is the maximum rate of reads of engines' states. It lengthens ReconcileInterval for services with
+	// many engines; 4 by default.
 	MaxReadsPerSecond float64
 }
 
-// Defaults of what the settings tree may leave out.
+// Defaults of the settings that the settings tree may leave out.
 const (
 	DefaultLease          = 10 * time.Second
 	DefaultLongestPause   = 30 * time.Second
@@ -156,15 +156,15 @@
 	return o
 }
 
-// boundsOf returns the bounds of a service's orders with the defaults in place of zeros.
-func boundsOf(service configurer.Service) configurer.Orders {
+// ordersWithDefaults returns a service's settings for orders, with defaults in place of zeros.
+func ordersWithDefaults(service configurer.Service) configurer.Orders {
 	bounds := service.Orders
 
 	if bounds.Lease == 0 {
 		bounds.Lease = DefaultLease
 	}
 
-	// The store counts whole seconds.
+	// The store supports only whole seconds.
 	bounds.Lease = time.Duration(storer.LeaseSeconds(bounds.Lease)) * time.Second
 
 	if bounds.LongestPause == 0 {
@@ -186,7 +186,7 @@
 	return bounds
 }
 
-// Map returns the counters by their names.
+// Map returns the values of the counters by their published names.
 func (c *Counters) Map() map[string]int64 {
 	return map[string]int64{
 		"orders_sent":                c.Sent.Load(),
