--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -1,6 +1,5 @@
-// Package dispatcher carries one request through its attempts: it asks for a
-// slot, lets the edge send the request to the granted upstream, and decides
-// from what came back whether to end, to retry or to resume.
+// Package dispatcher runs a request through its attempts: it acquires a slot, lets the sender send the request to the
+// granted upstream, and decides from the outcome whether to end, to retry or to resume.
 package dispatcher
 
 import (
@@ -13,35 +12,36 @@
 	"quincepath.example/quincepath/pkg/classifier"
 )
 
-// SlotRequest is what a request tells the holder of its pool to get a slot.
+// SlotRequest is what a request sends to the holder of its pool to get a slot.
 type SlotRequest struct {
 	RequestID string `json:"request_id"`
 	Service   string `json:"service"`
 	// Class and Organisation are names in the settings snapshot of the service.
 	Class        string `json:"class"`
 	Organisation string `json:"organisation"`
-	// Exclude names upstreams that already failed this request.
+	// Exclude lists upstreams that already failed this request, or that asked for no requests now.
 	Exclude []string `json:"exclude,omitempty"`
 	// Waited is the time since the request arrived at its entry node.
 	Waited time.Duration `json:"waited_ns"`
-	// Progress is the number of tokens that the caller already has; above zero for a resume.
+	// Progress is the number of tokens that the caller has already received; above zero for a resume.
 	Progress int `json:"progress,omitempty"`
 	// Repeatable is false for requests that must not be preempted.
 	Repeatable bool `json:"repeatable,omitempty"`
 	// Prefixes are hashes of the prompt's prefixes, sampled by depth; empty without a prompt.
 	Prefixes []uint64 `json:"prefixes,omitempty"`
-	// Spare asks only for a slot that is free now and nobody waits for; otherwise the ask is refused at once.
+	// Spare asks only for a slot that is free now and that no other request is waiting for; otherwise the request is
+	// refused at once.
 	Spare bool `json:"spare,omitempty"`
 }
 
 // Slot is the permission to send one attempt to one upstream.
 type Slot struct {
-	// ID names the grant; it is unique in the life of its holder.
+	// ID identifies the grant; it is unique over the lifetime of its holder.
 	ID       string
 	Upstream configurer.Upstream
-	// Priority is what the engine is told: lower is served first.
+	// Priority is sent to the engine; lower values are served first.
 	Priority int
-	// Preempted is closed when the holder takes the slot back for a higher tier; nil means never.
+	// Preempted is closed when the holder reclaims the slot for a higher tier; nil means never.
 	Preempted <-chan struct{}
 }
 
@@ -51,22 +51,22 @@
 const (
 	// ResultDone means that the whole answer arrived.
 	ResultDone Result = iota
-	// ResultNotSent means that no byte of the request can have left: the upstream did not run it.
+	// ResultNotSent means that no byte of the request can have been sent, so the upstream did not run it.
 	ResultNotSent
 	// ResultRefused means that the upstream answered that it did not run the request.
 	ResultRefused
-	// ResultRejected means that the upstream answered that the request itself is wrong; it did not run it.
+	// ResultRejected means that the upstream answered that the request itself is invalid; it did not run it.
 	ResultRejected
-	// ResultFailed means that the upstream broke off, and may have run the request.
+	// ResultFailed means that the upstream broke off and may have run the request.
 	ResultFailed
-	// ResultSilent means that no bytes came within the gap limit.
+	// ResultSilent means that no bytes arrived within the gap limit.
 	ResultSilent
-	// ResultPreempted means that the holder took the slot back.
+	// ResultPreempted means that the holder reclaimed the slot.
 	ResultPreempted
 	// ResultCallerGone means that the caller closed its connection.
 	ResultCallerGone
-	// ResultSuperseded means that another attempt of the same request delivered
-	// first, and this one was cancelled. It says nothing of the upstream.
+	// ResultSuperseded means that another attempt of the same request delivered first and this one was cancelled. It
+	// says nothing about the upstream.
 	ResultSuperseded
 )
 
@@ -82,12 +82,12 @@
 	ResultSuperseded: "superseded",
 }
 
-// String returns the snake-case name that stands in logs and counters.
+// String returns the snake-case name used in logs and counters.
 func (r Result) String() string {
 	return resultNames[r]
 }
 
-// Outcome is what the edge saw of one attempt.
+// Outcome is the result of one attempt, as its sender saw it.
 type Outcome struct {
 	Result Result
 	// FirstToken is the time from sending to the first token or answer byte; zero if none came.
@@ -96,15 +96,17 @@
 	Duration time.Duration
 	// Tokens is the number of tokens that this attempt delivered to the caller's answer.
 	Tokens int
-	// DiscardedTokens is the number of tokens that came and were not delivered, since another attempt owns the answer.
+	// DiscardedTokens is the number of tokens that arrived but were not delivered, because another attempt owns the
+	// answer.
 	DiscardedTokens int
-	// RetryAfter is for how long an upstream that refused the attempt wants no other from this node; 0 if it didn't say.
+	// RetryAfter is how long an upstream that refused the attempt wants no other request from this node; 0 if it did not
+	// say.
 	RetryAfter time.Duration
-	// Err is the cause for the log, or nil.
+	// Err is the cause, for the log; it may be nil.
 	Err error
 }
 
-// TokenGap is the mean time between tokens, or zero when fewer than two came.
+// TokenGap returns the mean time between tokens, or zero if fewer than two arrived.
 func (o Outcome) TokenGap() time.Duration {
 	if o.Tokens < 2 {
 		return 0
@@ -113,19 +115,18 @@
 	return (o.Duration - o.FirstToken) / time.Duration(o.Tokens-1)
 }
 
-// SlotGranter grants slots. Acquire waits for a grant, a refusal with a numbered
-// result, or the end of ctx; every granted slot is released exactly once.
+// SlotGranter grants slots. Acquire waits for a grant, a refusal with an error code, or the end of ctx. Every granted
+// slot is released exactly once.
 type SlotGranter interface {
-	Acquire(ctx context.Context, ask SlotRequest) (Slot, error)
-	Release(slot Slot, ask SlotRequest, outcome Outcome)
+	Acquire(ctx context.Context, slotRequest SlotRequest) (Slot, error)
+	Release(slot Slot, slotRequest SlotRequest, outcome Outcome)
 }
 
-// Sender sends one attempt of a request to an upstream and returns when the
-// attempt is over. It appends what arrives to the request's answer, once the
-// attempt owns it. Two attempts may be sent at once; Progress isn't called meanwhile.
+// Sender sends one attempt of a request to an upstream and returns when the attempt is over. It appends what arrives to
+// the answer once the attempt owns the answer. Two attempts may be sent at once; Progress is not called meanwhile.
 type Sender interface {
 	Send(ctx context.Context, attempt Attempt) Outcome
-	// Progress is the number of tokens that the caller's answer holds so far.
+	// Progress returns the number of tokens that the caller's answer holds so far.
 	Progress() int
 }
 
@@ -134,24 +135,24 @@
 	// Number counts from 1.
 	Number int
 	Slot   Slot
-	// Offset is the number of tokens that the engine is to skip.
+	// Offset is the number of tokens that the engine must skip.
 	Offset int
-	// History is what the earlier attempts left behind; it doesn't hold this attempt.
+	// History summarises the earlier attempts, without this one.
 	History History
-	// Hedge is true for the second of two attempts at once.
+	// Hedge is true for the second of two concurrent attempts.
 	Hedge bool
-	// claim makes the attempt the owner of the answer; nil when no other attempt can be.
+	// claim makes the attempt the owner of the answer; nil if no other attempt can be the owner.
 	claim func() bool
 }
 
-// IsRacing says whether another attempt may own the answer. Then nothing may be
-// added to the answer before TryOwn.
+// IsRacing reports whether another attempt may own the answer. If so, nothing may be added to the answer before TryOwn
+// returns true.
 func (a Attempt) IsRacing() bool {
 	return a.claim != nil
 }
 
-// TryOwn is called with the first token, or a whole plain answer, in hand. False means that
-// another attempt delivered first; the sender then drops what it has and returns.
+// TryOwn must be called once the first token, or a complete plain answer, has arrived. False means that another attempt
+// delivered first; the sender then discards what it has and returns.
 func (a Attempt) TryOwn() bool {
 	return a.claim == nil || a.claim()
 }
@@ -160,11 +161,11 @@
 type RetryDecision struct {
 	// Retry asks for another attempt.
 	Retry bool
-	// Exclude keeps the failed upstream out of later attempts.
+	// Exclude excludes the failed upstream from later attempts.
 	Exclude bool
-	// Reason names the retry in counters and logs, such as "upstream_silent".
+	// Reason identifies the retry in counters and logs, such as "upstream_silent".
 	Reason string
-	// Err ends the request when Again is false; nil means success.
+	// Err is the error that ends the request if Retry is false; nil means success.
 	Err *classifier.Error
 }
 
@@ -179,16 +180,16 @@
 	Service      configurer.Service
 	Class        configurer.Class
 	Organisation configurer.Organisation
-	// Repeatable is false when a second run would do harm.
+	// Repeatable is false if running the request twice would do harm.
 	Repeatable bool
 	Arrived    time.Time
-	// Prefixes are hashes of the prompt's prefixes; they choose between equally good upstreams.
+	// Prefixes are hashes of the prompt's prefixes; they decide between equally good upstreams.
 	Prefixes []uint64
 	// Key is the same each time that a caller sends the same request.
 	Key quarantiner.Key
 }
 
-// Observer is told of each attempt, for counters and logs.
+// Observer is notified of each attempt, for counters and logs.
 type Observer interface {
 	AttemptEnded(request Request, attempt Attempt, outcome Outcome, next RetryDecision)
 }
@@ -198,19 +199,19 @@
 	slotter  SlotGranter
 	judge    RetryPolicy
 	observer Observer
-	// hedger is nil when no request gets a second attempt beside the first.
+	// hedger is nil if no request gets a hedge.
 	hedger Hedger
-	// quarantine is nil when every request may run.
-	quarantine Quarantine
-	rests      rests
+	// quarantine is nil if every request may run.
+	quarantine  Quarantine
+	retryAfters retryAfters
 }
 
-// New returns a dispatcher over the given parts.
+// New returns a Dispatcher.
 func New(slotter SlotGranter, judge RetryPolicy, observer Observer) *Dispatcher {
 	return &Dispatcher{slotter: slotter, judge: judge, observer: observer}
 }
 
-// Run carries the request to its end and returns nil or a numbered result.
+// Run runs the request until it ends and returns nil or an error with a code.
 func (d *Dispatcher) Run(ctx context.Context, request Request, sender Sender) *classifier.Error {
 	var (
 		exclude  []string
@@ -219,61 +220,60 @@
 	)
 
 	for number := 1; ; {
-		if failure := d.quarantined(request, history); failure != nil {
+		if failure := d.quarantineError(request, history); failure != nil {
 			return failure
 		}
 
-		ask := newAsk(request, sender.Progress(), exclude)
-		ask.Exclude = slices.Concat(ask.Exclude, d.rests.names(time.Now(), request.Service))
+		slotRequest := newSlotRequest(request, sender.Progress(), exclude)
+		slotRequest.Exclude = slices.Concat(slotRequest.Exclude, d.retryAfters.upstreams(time.Now(), request.Service))
 
-		slot, err := d.slotter.Acquire(ctx, ask)
+		slot, err := d.slotter.Acquire(ctx, slotRequest)
 		if err != nil {
 			return acquireError(ctx, err, history)
 		}
 
-		// It may have been found out while the request waited.
-		if failure := d.quarantined(request, history); failure != nil {
-			d.slotter.Release(slot, ask, Outcome{Result: ResultSuperseded})
+		// The request may have been quarantined while it waited.
+		if failure := d.quarantineError(request, history); failure != nil {
+			d.slotter.Release(slot, slotRequest, Outcome{Result: ResultSuperseded})
 
 			return failure
 		}
 
-		// The slot was granted before the upstream asked for rest.
-		if left := d.rests.left(time.Now(), slot.Upstream.Address); left > 0 {
-			d.slotter.Release(slot, ask, Outcome{Result: ResultSuperseded})
+		// The slot may have been granted before the upstream sent its Retry-After.
+		if left := d.retryAfters.remaining(time.Now(), slot.Upstream.Address); left > 0 {
+			d.slotter.Release(slot, slotRequest, Outcome{Result: ResultSuperseded})
 
 			declined++
-			if declined == mostDeclined {
-				return restingError(history, left)
+			if declined == maxDeclinedSlots {
+				return retryAfterError(history, left)
 			}
 
 			continue
 		}
 
 		attempt := Attempt{Number: number, Slot: slot, Offset: sender.Progress(), History: history}
-		over, failed := d.step(ctx, request, sender, attempt, ask)
-		number = over.last + 1
+		ended, failed := d.sendAttempts(ctx, request, sender, attempt, slotRequest)
+		number = ended.lastNumber + 1
 
-		next := d.judge.Decide(request, over.attempt, over.outcome, sender.Progress())
-		d.observer.AttemptEnded(request, over.attempt, over.outcome, next)
+		next := d.judge.Decide(request, ended.attempt, ended.outcome, sender.Progress())
+		d.observer.AttemptEnded(request, ended.attempt, ended.outcome, next)
 
 		if !next.Retry {
 			return next.Err
 		}
 
-		history = over.attempt.History.WithAttempt(over.outcome)
+		history = ended.attempt.History.WithAttempt(ended.outcome)
 		exclude = append(exclude, failed...)
 
 		if next.Exclude {
-			exclude = append(exclude, over.attempt.Slot.Upstream.Name)
+			exclude = append(exclude, ended.attempt.Slot.Upstream.Name)
 		}
 	}
 }
 
-// newAsk returns what the next attempt asks the holder for. Progress is the
-// number of tokens that the caller has; failed names the upstreams that failed
-// the request, the latest last.
-func newAsk(request Request, progress int, failed []string) SlotRequest {
+// newSlotRequest returns the slot request of the next attempt. progress is the number of tokens that the caller has;
+// failed lists the upstreams that failed the request, the latest last.
+func newSlotRequest(request Request, progress int, failed []string) SlotRequest {
 	return SlotRequest{
 		RequestID:    request.ID,
 		Service:      request.Service.Name,
@@ -287,11 +287,9 @@
 	}
 }
 
-// excluded returns the upstreams that the next attempt stays away from: those
-// that failed the request, the latest last. Once all have failed it, only the
-// latest stays out, or none when there is no other. A service with one server
-// would else answer "no upstream" after a single connection went silent,
-// although a new connection to the same server works.
+// excluded returns the upstreams that the next attempt avoids: those that failed the request, the latest last. Once all
+// have failed it, only the latest is avoided, or none if there is no other. Otherwise a service with one server would
+// answer no_upstream after a single connection went silent, although a new connection to the same server works.
 func excluded(service configurer.Service, failed []string) []string {
 	if len(failed) == 0 {
 		return nil
@@ -321,13 +319,12 @@
 	}
 }
 
-// send runs one attempt and ends it early when the holder takes the slot back.
-// A request that is not repeatable keeps its slot: cancelled halfway it may have
-// run, could not be sent again, and its caller would get no answer at all.
+// send runs one attempt and ends it early if the holder reclaims the slot. A request that is not repeatable keeps its
+// slot: cancelled halfway, it may have run, could not be sent again, and its caller would get no answer at all.
 func (d *Dispatcher) send(ctx context.Context, request Request, sender Sender, attempt Attempt) Outcome {
 	outcome := d.sendUntilPreempted(ctx, request, sender, attempt)
 	if outcome.RetryAfter > 0 {
-		d.rests.note(time.Now(), attempt.Slot.Upstream.Address, outcome.RetryAfter)
+		d.retryAfters.add(time.Now(), attempt.Slot.Upstream.Address, outcome.RetryAfter)
 	}
 
 	return outcome
@@ -365,16 +362,16 @@
 	return outcome
 }
 
-// restingError ends a request whose slots were all at upstreams that rest.
-func restingError(history History, left time.Duration) *classifier.Error {
-	failure := classifier.New(classifier.NoUpstream, "the upstreams want no requests now").After(left)
+// retryAfterError returns the error of a request whose slots were all at upstreams that asked for no requests now.
+func retryAfterError(history History, remaining time.Duration) *classifier.Error {
+	failure := classifier.New(classifier.NoUpstream, "the upstreams want no requests now").After(remaining)
 	failure.Ran = history.RanState()
 
 	return failure
 }
 
-// acquireError turns a failed Acquire into the final result. A slotter runs
-// nothing, so whether the request ran follows from its attempts alone.
+// acquireError converts a failed Acquire into the final error. A SlotGranter runs nothing, so whether the request ran
+// follows from its attempts alone.
 func acquireError(ctx context.Context, err error, history History) *classifier.Error {
 	if ctx.Err() != nil {
 		gone := classifier.Wrap(err, classifier.CallerGone, "the caller left while the request waited")
--- a/internal/dispatcher/leaving_out_test.go
+++ b/internal/dispatcher/excluded_test.go
@@ -8,9 +8,8 @@
 	"quincepath.example/quincepath/internal/configurer"
 )
 
-// Symptom: a lookup at a service with one server ends as no_upstream, while the server is well.
-// Events: its connection goes silent; the retry must go to another upstream, and there is none.
-// Cause: an upstream that failed a request once was left out for good, also when no other was left.
+// Guards against no_upstream at a service with one healthy server whose connection went silent: an upstream that failed
+// a request once was excluded for good, even if no other was left for the retry.
 func TestLeaveOut(t *testing.T) {
 	two := configurer.Service{Upstreams: map[string]configurer.Upstream{
 		"a": {Name: "a"}, "b": {Name: "b"}, "gone": {Name: "gone", Leaving: true},
--- a/internal/dispatcher/world_test.go
+++ b/internal/dispatcher/fixture_test.go
@@ -16,31 +16,32 @@
 	"quincepath.example/quincepath/pkg/classifier"
 )
 
-// wholeAnswer is the number of tokens of every answer.
+// wholeAnswer is the number of tokens of every complete answer.
 const wholeAnswer = 5
 
-// script says what an upstream does with a request.
+// script defines how an upstream handles a request.
 type script struct {
-	// first is the time to the first token, gap that between tokens.
+	// first is the time to the first token, gap the time between tokens.
 	first, gap time.Duration
 	// result ends the attempt at its first token, or after breakAfter tokens, unless it is ResultDone.
 	result     dispatcher.Result
 	breakAfter int
-	// deaf goes on until its first token after a cancel.
-	deaf bool
-	// preemptAfter takes the slot back; zero means never.
+	// ignoresCancel is true if the upstream ignores a cancellation until its first token.
+	ignoresCancel bool
+	// preemptAfter is when the slot is preempted; zero means never.
 	preemptAfter time.Duration
 }
 
-// world is the upstreams, the slots and the caller's answer of one request.
-type world struct {
+// fixture holds the upstreams, the slots and the caller's answer of one request.
+type fixture struct {
 	upstreams []script
-	// spare says whether a second slot is granted, after spareWait; spareAnyway even if the ask is given up.
+	// spare is true if a second slot is granted, after spareWait; with spareAnyway it is granted even if the slot
+	// request was cancelled.
 	spare       bool
 	spareAnyway bool
 	spareWait   time.Duration
-	// flights is the largest number of attempts that ran at once.
-	flights int
+	// maxRunning is the largest number of concurrent attempts.
+	maxRunning int
 
 	mu       sync.Mutex
 	running  int
@@ -51,30 +52,30 @@
 	observed []dispatcher.Outcome
 	decided  int
 	judge    dispatcher.RetryPolicy
-	// quarantine is nil when every request may run.
+	// quarantine is nil if every request may run.
 	quarantine dispatcher.Quarantine
 }
 
-func (w *world) Acquire(ctx context.Context, ask dispatcher.SlotRequest) (dispatcher.Slot, error) {
-	if ask.Spare && !w.spare {
+func (f *fixture) Acquire(ctx context.Context, ask dispatcher.SlotRequest) (dispatcher.Slot, error) {
+	if ask.Spare && !f.spare {
 		return dispatcher.Slot{}, classifier.New(classifier.NoUpstream, "no slot is free")
 	}
 
-	if ask.Spare && !sleep(ctx, w.spareWait) && !w.spareAnyway {
+	if ask.Spare && !sleep(ctx, f.spareWait) && !f.spareAnyway {
 		return dispatcher.Slot{}, ctx.Err()
 	}
 
-	w.mu.Lock()
-	defer w.mu.Unlock()
+	f.mu.Lock()
+	defer f.mu.Unlock()
 
-	for i, s := range w.upstreams {
+	for i, s := range f.upstreams {
 		name := strconv.Itoa(i)
 		if slices.Contains(ask.Exclude, name) {
 			continue
 		}
 
-		w.grants++
-		slot := dispatcher.Slot{ID: strconv.Itoa(w.grants), Upstream: configurer.Upstream{Name: name}}
+		f.grants++
+		slot := dispatcher.Slot{ID: strconv.Itoa(f.grants), Upstream: configurer.Upstream{Name: name}}
 
 		if s.preemptAfter > 0 {
 			preempted := make(chan struct{})
@@ -88,44 +89,44 @@
 	return dispatcher.Slot{}, classifier.New(classifier.NoUpstream, "none is left")
 }
 
-func (w *world) Release(slot dispatcher.Slot, _ dispatcher.SlotRequest, outcome dispatcher.Outcome) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (f *fixture) Release(slot dispatcher.Slot, _ dispatcher.SlotRequest, outcome dispatcher.Outcome) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
 
-	w.released[slot.ID] = append(w.released[slot.ID], outcome)
+	f.released[slot.ID] = append(f.released[slot.ID], outcome)
 }
 
-func (w *world) Progress() int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (f *fixture) Progress() int {
+	f.mu.Lock()
+	defer f.mu.Unlock()
 
-	return len(w.answer)
+	return len(f.answer)
 }
 
-func (w *world) Send(ctx context.Context, attempt dispatcher.Attempt) dispatcher.Outcome {
-	w.mu.Lock()
-	w.sent = append(w.sent, attempt)
-	w.running++
-	w.flights = max(w.flights, w.running)
-	w.mu.Unlock()
+func (f *fixture) Send(ctx context.Context, attempt dispatcher.Attempt) dispatcher.Outcome {
+	f.mu.Lock()
+	f.sent = append(f.sent, attempt)
+	f.running++
+	f.maxRunning = max(f.maxRunning, f.running)
+	f.mu.Unlock()
 
 	started := time.Now()
-	outcome := w.attempt(ctx, attempt)
+	outcome := f.attempt(ctx, attempt)
 	outcome.Duration = time.Since(started)
 
-	w.mu.Lock()
-	defer w.mu.Unlock()
+	f.mu.Lock()
+	defer f.mu.Unlock()
 
-	w.running--
+	f.running--
 
 	return outcome
 }
 
-func (w *world) attempt(ctx context.Context, attempt dispatcher.Attempt) dispatcher.Outcome {
+func (f *fixture) attempt(ctx context.Context, attempt dispatcher.Attempt) dispatcher.Outcome {
 	number, _ := strconv.Atoi(attempt.Slot.Upstream.Name)
-	s := w.upstreams[number]
+	s := f.upstreams[number]
 
-	if s.deaf {
+	if s.ignoresCancel {
 		time.Sleep(s.first)
 	} else if !sleep(ctx, s.first) {
 		return dispatcher.Outcome{Result: dispatcher.ResultCallerGone}
@@ -142,9 +143,9 @@
 	outcome := dispatcher.Outcome{FirstToken: s.first}
 
 	for token := attempt.Offset; token < wholeAnswer; token++ {
-		w.mu.Lock()
-		w.answer = append(w.answer, token)
-		w.mu.Unlock()
+		f.mu.Lock()
+		f.answer = append(f.answer, token)
+		f.mu.Unlock()
 
 		outcome.Tokens++
 
@@ -164,19 +165,19 @@
 	return outcome
 }
 
-func (w *world) Decide(request dispatcher.Request, attempt dispatcher.Attempt, outcome dispatcher.Outcome, progress int) dispatcher.RetryDecision {
-	w.decided++
+func (f *fixture) Decide(request dispatcher.Request, attempt dispatcher.Attempt, outcome dispatcher.Outcome, progress int) dispatcher.RetryDecision {
+	f.decided++
 
-	return w.judge.Decide(request, attempt, outcome, progress)
+	return f.judge.Decide(request, attempt, outcome, progress)
 }
 
-func (w *world) AttemptEnded(_ dispatcher.Request, _ dispatcher.Attempt, outcome dispatcher.Outcome, _ dispatcher.RetryDecision) {
-	w.observed = append(w.observed, outcome)
+func (f *fixture) AttemptEnded(_ dispatcher.Request, _ dispatcher.Attempt, outcome dispatcher.Outcome, _ dispatcher.RetryDecision) {
+	f.observed = append(f.observed, outcome)
 }
 
-// run carries one request of a class whose first tokens take up to 100 ms. The
-// class's own budget pays for 10 extra attempts less spent, and the node's floor for none.
-func (w *world) run(ctx context.Context, repeatable bool, spent int) *classifier.Error {
+// run runs one request of a class whose first tokens take up to 100 ms. The class's own budget allows 10 extra attempts,
+// of which spent are used up, and the node's floor allows none.
+func (f *fixture) run(ctx context.Context, repeatable bool, spent int) *classifier.Error {
 	class := configurer.Class{Name: "counter", Hedge: true, Repeatable: true, RetryBudget: 0.1}
 	judge := retrier.New(retrier.Options{FloorBurst: -1, FloorPerSecond: 1e-9})
 	hedger := retrier.NewHedger(judge.Budget())
@@ -189,14 +190,14 @@
 		hedger.Spend(time.Now(), "assistente", class)
 	}
 
-	w.judge = judge
-	w.released = make(map[string][]dispatcher.Outcome)
+	f.judge = judge
+	f.released = make(map[string][]dispatcher.Outcome)
 
-	d := dispatcher.New(w, w, w)
+	d := dispatcher.New(f, f, f)
 	d.SetHedger(hedger)
 
-	if w.quarantine != nil {
-		d.SetQuarantine(w.quarantine)
+	if f.quarantine != nil {
+		d.SetQuarantine(f.quarantine)
 	}
 
 	return d.Run(ctx, dispatcher.Request{
@@ -205,33 +206,33 @@
 		Class:      class,
 		Repeatable: repeatable,
 		Arrived:    time.Now(),
-	}, w)
+	}, f)
 }
 
-// problem says what no schedule may bring about, or "".
-func (w *world) problem() string {
-	for i, token := range w.answer {
+// problem returns an invariant that the schedule violated, or "".
+func (f *fixture) problem() string {
+	for i, token := range f.answer {
 		if token != i {
 			return "a token is lost, doubled or mixed"
 		}
 	}
 
-	if len(w.released) != w.grants {
+	if len(f.released) != f.grants {
 		return "a slot is not released"
 	}
 
-	for _, outcomes := range w.released {
+	for _, outcomes := range f.released {
 		if len(outcomes) != 1 {
 			return "a slot is released twice"
 		}
 	}
 
-	if len(w.observed) != len(w.sent) {
+	if len(f.observed) != len(f.sent) {
 		return "an attempt is not observed once"
 	}
 
-	for i := range w.sent {
-		if w.sent[i].Number != i+1 {
+	for i := range f.sent {
+		if f.sent[i].Number != i+1 {
 			return "two attempts have one number"
 		}
 	}
@@ -239,17 +240,17 @@
 	return ""
 }
 
-func (w *world) check(t *testing.T) {
+func (f *fixture) check(t *testing.T) {
 	t.Helper()
-	assert.Equal(t, w.problem(), "")
+	assert.Equal(t, f.problem(), "")
 }
 
-// results are the ends of all attempts, by the number of their grant.
-func (w *world) results() []string {
+// results returns the results of all attempts in the order of their grants.
+func (f *fixture) results() []string {
 	var names []string
 
-	for number := range w.grants {
-		names = append(names, w.released[strconv.Itoa(number+1)][0].Result.String())
+	for number := range f.grants {
+		names = append(names, f.released[strconv.Itoa(number+1)][0].Result.String())
 	}
 
 	return names
--- a/internal/dispatcher/hedging.go
+++ b/internal/dispatcher/hedging.go
@@ -9,32 +9,32 @@
 	"quincepath.example/quincepath/internal/configurer"
 )
 
-// Hedger decides when a slow request deserves a second attempt beside the first.
+// Hedger decides when a slow request gets a hedge: a second attempt that runs concurrently with the first.
 type Hedger interface {
 	// Delay returns how long to wait for the first token, or a plain answer; false means never to hedge.
 	Delay(service string, class configurer.Class) (time.Duration, bool)
-	// Spend pays for a second attempt right before it is sent; false means that the budget is empty.
+	// Spend takes a second attempt from the budget right before it is sent; false means that the budget is empty.
 	Spend(now time.Time, service string, class configurer.Class) bool
-	// Observe takes the time that a request's first attempt needed, or at least needed when it was superseded.
+	// Observe records the time that a request's first attempt needed, or the time until it was superseded.
 	Observe(now time.Time, service string, class configurer.Class, firstToken time.Duration)
 }
 
-// SetHedger lets slow requests have a second attempt. Call it before the first request.
+// SetHedger makes the dispatcher hedge slow requests. Call it before the first request.
 func (d *Dispatcher) SetHedger(hedger Hedger) {
 	d.hedger = hedger
 }
 
-// step sends one attempt, or two at once, releases their slots, and returns the
-// one attempt that the judge is to see, with the upstreams of another that failed.
-func (d *Dispatcher) step(ctx context.Context, request Request, sender Sender, first Attempt, ask SlotRequest) (ended, []string) {
+// sendAttempts sends one attempt, or two concurrently, and releases their slots. It returns the one attempt that the
+// retry policy evaluates, with the upstreams of another attempt that failed.
+func (d *Dispatcher) sendAttempts(ctx context.Context, request Request, sender Sender, first Attempt, slotRequest SlotRequest) (endedAttempt, []string) {
 	after, ok := d.hedgeAfter(request, first)
 	if !ok {
 		outcome := d.send(ctx, request, sender, first)
-		d.slotter.Release(first.Slot, ask, outcome)
+		d.slotter.Release(first.Slot, slotRequest, outcome)
 		d.observe(request, first, outcome)
-		d.tellEnd(request, first, outcome)
+		d.reportEnd(request, first, outcome)
 
-		return ended{attempt: first, outcome: outcome, last: first.Number}, nil
+		return endedAttempt{attempt: first, outcome: outcome, lastNumber: first.Number}, nil
 	}
 
 	r := &race{
@@ -43,17 +43,17 @@
 		sender:     sender,
 		cancels:    make(map[int]context.CancelFunc),
 		owned:      make(chan struct{}),
-		ended:      make(chan ended, 2),
+		ended:      make(chan endedAttempt, 2),
 	}
 
-	r.launch(ctx, first, ask)
-	r.hedge(ctx, after, first, ask)
+	r.launch(ctx, first, slotRequest)
+	r.hedge(ctx, after, first, slotRequest)
 
 	return r.collect()
 }
 
-// hedgeAfter returns how long to wait before a second attempt. Only the first
-// attempt of a repeatable request is hedged: a second run of any other does harm.
+// hedgeAfter returns how long to wait before a second attempt. Only the first attempt of a repeatable request is hedged:
+// running any other request twice does harm.
 func (d *Dispatcher) hedgeAfter(request Request, attempt Attempt) (time.Duration, bool) {
 	if d.hedger == nil || !request.Repeatable || attempt.Number != 1 || attempt.Offset > 0 {
 		return 0, false
@@ -62,36 +62,34 @@
 	return d.hedger.Delay(request.Service.Name, request.Class)
 }
 
-// observe tells the hedger how long a first attempt took. One that was
-// superseded took at least until then; left out, it would make the class look
-// faster with each hedge, and more and more would be hedged.
+// observe reports to the hedger how long a first attempt took. A superseded one took at least until then. Without it,
+// the class would look faster with each hedge, and more and more requests would be hedged.
 func (d *Dispatcher) observe(request Request, attempt Attempt, outcome Outcome) {
 	if d.hedger == nil || attempt.Number != 1 {
 		return
 	}
 
-	measure := outcome.FirstToken
+	elapsed := outcome.FirstToken
 
 	switch {
 	case outcome.Result == ResultSuperseded:
-		measure = outcome.Duration
+		elapsed = outcome.Duration
 	case outcome.Tokens == 0 && outcome.Result != ResultDone:
 		return
 	}
 
-	d.hedger.Observe(time.Now(), request.Service.Name, request.Class, measure)
+	d.hedger.Observe(time.Now(), request.Service.Name, request.Class, elapsed)
 }
 
-// ended is one attempt that is over.
-type ended struct {
+// endedAttempt is one attempt that is over.
+type endedAttempt struct {
 	attempt Attempt
 	outcome Outcome
-	// last is the highest number of an attempt in the step.
-	last int
+	// lastNumber is the highest attempt number of the race.
+	lastNumber int
 }
 
-// race is one step of a request with up to two attempts at once. The answer is
-// owned by the first that has something of it to deliver.
+// race runs up to two concurrent attempts of a request. The first that has something to deliver owns the answer.
 type race struct {
 	dispatcher *Dispatcher
 	request    Request
@@ -99,19 +97,18 @@
 	// owned is closed when owner is set.
 	owned chan struct{}
 	// ended has room for both attempts.
-	ended chan ended
-	// running counts the attempts sent; only the request's own goroutine uses it.
+	ended chan endedAttempt
+	// running counts the attempts sent; it is only used by the goroutine of the request.
 	running int
 
 	mu sync.Mutex
-	// owner is the number of the attempt that owns the answer; 0 while none does. It never changes again.
+	// owner is the number of the attempt that owns the answer; 0 while there is none. Once set, it never changes.
 	owner   int
 	cancels map[int]context.CancelFunc
 }
 
-// own makes the attempt the owner of the answer, unless the other is, and
-// cancels the other. Both may deliver at the same moment; without a single owner
-// their tokens would mix in the answer.
+// own makes the attempt the owner of the answer, unless the other attempt is, and cancels the other. Both may deliver at
+// the same moment; without a single owner their tokens would be mixed in the answer.
 func (r *race) own(number int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -130,7 +127,7 @@
 	return r.owner == number
 }
 
-// lost says whether the other attempt owns the answer.
+// lost reports whether the other attempt owns the answer.
 func (r *race) lost(number int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -138,8 +135,8 @@
 	return r.owner != 0 && r.owner != number
 }
 
-// launch sends an attempt in the background. It returns false when the answer has an owner already.
-func (r *race) launch(ctx context.Context, attempt Attempt, ask SlotRequest) bool {
+// launch sends an attempt in the background. It returns false if the answer already has an owner.
+func (r *race) launch(ctx context.Context, attempt Attempt, slotRequest SlotRequest) bool {
 	attempt.claim = func() bool { return r.own(attempt.Number) }
 	attemptContext, cancel := context.WithCancel(ctx)
 
@@ -161,33 +158,33 @@
 
 		outcome := r.dispatcher.send(attemptContext, r.request, r.sender, attempt)
 		if outcome.Result == ResultRejected {
-			// The request itself is wrong; the other attempt would be told the same.
+			// The request itself is invalid; the other attempt would be rejected too.
 			r.own(attempt.Number)
 		}
 
-		r.ended <- r.finish(attempt, ask, outcome)
+		r.ended <- r.release(attempt, slotRequest, outcome)
 	}()
 
 	return true
 }
 
-// finish releases the slot of an attempt at once, whatever the other does. The
-// end of a superseded attempt says nothing of its upstream: it was cancelled here.
-func (r *race) finish(attempt Attempt, ask SlotRequest, outcome Outcome) ended {
+// release releases the slot of an attempt at once, independently of the other attempt. The end of a superseded attempt
+// says nothing about its upstream: it was cancelled by this node.
+func (r *race) release(attempt Attempt, slotRequest SlotRequest, outcome Outcome) endedAttempt {
 	if r.lost(attempt.Number) {
 		outcome = Outcome{Result: ResultSuperseded, Duration: outcome.Duration, DiscardedTokens: outcome.DiscardedTokens, Err: outcome.Err}
 	}
 
-	r.dispatcher.slotter.Release(attempt.Slot, ask, outcome)
+	r.dispatcher.slotter.Release(attempt.Slot, slotRequest, outcome)
 	r.dispatcher.observe(r.request, attempt, outcome)
-	r.dispatcher.tellEnd(r.request, attempt, outcome)
+	r.dispatcher.reportEnd(r.request, attempt, outcome)
 
-	return ended{attempt: attempt, outcome: outcome, last: attempt.Number}
+	return endedAttempt{attempt: attempt, outcome: outcome, lastNumber: attempt.Number}
 }
 
-// hedge sends a second attempt when the first has brought nothing in time, a
-// slot is free and the budget pays. It returns as soon as that is settled.
-func (r *race) hedge(ctx context.Context, after time.Duration, first Attempt, ask SlotRequest) {
+// hedge sends a second attempt if the first has delivered nothing in time, a slot is free and the budget allows it. It
+// returns as soon as that is decided.
+func (r *race) hedge(ctx context.Context, after time.Duration, first Attempt, slotRequest SlotRequest) {
 	timer := time.NewTimer(after)
 	defer timer.Stop()
 
@@ -195,33 +192,33 @@
 	case <-timer.C:
 	case <-r.owned:
 		return
-	case over := <-r.ended:
-		r.ended <- over
+	case ended := <-r.ended:
+		r.ended <- ended
 
 		return
 	}
 
-	ask.Exclude = append(slices.Clone(ask.Exclude), first.Slot.Upstream.Name)
-	ask.Exclude = append(ask.Exclude, r.dispatcher.rests.names(time.Now(), r.request.Service)...)
-	ask.Waited = time.Since(r.request.Arrived)
-	ask.Spare = true
+	slotRequest.Exclude = append(slices.Clone(slotRequest.Exclude), first.Slot.Upstream.Name)
+	slotRequest.Exclude = append(slotRequest.Exclude, r.dispatcher.retryAfters.upstreams(time.Now(), r.request.Service)...)
+	slotRequest.Waited = time.Since(r.request.Arrived)
+	slotRequest.Spare = true
 
-	slot, ok := r.acquire(ctx, ask)
+	slot, ok := r.acquireSpare(ctx, slotRequest)
 	if !ok {
 		return
 	}
 
 	second := Attempt{Number: first.Number + 1, Slot: slot, History: first.History, Hedge: true}
-	rests := r.dispatcher.rests.left(time.Now(), slot.Upstream.Address) > 0
-	if _, held := r.dispatcher.held(r.request); !rests && !held && r.pay() && r.launch(ctx, second, ask) {
+	mustWait := r.dispatcher.retryAfters.remaining(time.Now(), slot.Upstream.Address) > 0
+	if _, held := r.dispatcher.inQuarantine(r.request); !mustWait && !held && r.spend() && r.launch(ctx, second, slotRequest) {
 		return
 	}
 
-	r.dispatcher.slotter.Release(slot, ask, Outcome{Result: ResultSuperseded})
+	r.dispatcher.slotter.Release(slot, slotRequest, Outcome{Result: ResultSuperseded})
 }
 
-// acquire asks for a second slot and gives the ask up once the first attempt delivers or ends.
-func (r *race) acquire(ctx context.Context, ask SlotRequest) (Slot, bool) {
+// acquireSpare acquires a second slot, and gives up once the first attempt delivers or ends.
+func (r *race) acquireSpare(ctx context.Context, slotRequest SlotRequest) (Slot, bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 
@@ -242,7 +239,7 @@
 		cancel()
 	}()
 
-	slot, err := r.dispatcher.slotter.Acquire(ctx, ask)
+	slot, err := r.dispatcher.slotter.Acquire(ctx, slotRequest)
 
 	close(settled)
 	<-watched
@@ -252,7 +249,7 @@
 	}
 
 	if ctx.Err() != nil {
-		r.dispatcher.slotter.Release(slot, ask, Outcome{Result: ResultSuperseded})
+		r.dispatcher.slotter.Release(slot, slotRequest, Outcome{Result: ResultSuperseded})
 
 		return Slot{}, false
 	}
@@ -260,8 +257,8 @@
 	return slot, true
 }
 
-// pay spends the second attempt from the class's budget, unless it is too late for one.
-func (r *race) pay() bool {
+// spend takes the second attempt from the class's budget, unless the answer already has an owner.
+func (r *race) spend() bool {
 	select {
 	case <-r.owned:
 		return false
@@ -271,32 +268,32 @@
 	return r.dispatcher.hedger.Spend(time.Now(), r.request.Service.Name, r.request.Class)
 }
 
-// collect waits for all attempts. The owner of the answer stands for the step,
-// or the last to end when there is none; the other's end goes into its history.
-func (r *race) collect() (ended, []string) {
+// collect waits for all attempts. The owner of the answer represents them, or the last to end if there is no owner; the
+// outcome of the other is added to its history.
+func (r *race) collect() (endedAttempt, []string) {
 	var (
-		stands  ended
-		others  []ended
-		exclude []string
+		representative endedAttempt
+		others         []endedAttempt
+		exclude        []string
 	)
 
 	for number := range r.running {
-		over := <-r.ended
+		ended := <-r.ended
 
 		switch {
 		case number == 0:
-			stands = over
-		case r.lost(over.attempt.Number):
-			others = append(others, over)
+			representative = ended
+		case r.lost(ended.attempt.Number):
+			others = append(others, ended)
 		default:
-			others = append(others, stands)
-			stands = over
+			others = append(others, representative)
+			representative = ended
 		}
 	}
 
 	for _, other := range others {
-		stands.last = max(stands.last, other.last)
-		stands.attempt.History = stands.attempt.History.WithConcurrentAttempt(other.outcome)
+		representative.lastNumber = max(representative.lastNumber, other.lastNumber)
+		representative.attempt.History = representative.attempt.History.WithConcurrentAttempt(other.outcome)
 		r.dispatcher.observer.AttemptEnded(r.request, other.attempt, other.outcome, RetryDecision{Reason: other.outcome.Result.String()})
 
 		if other.outcome.Result != ResultSuperseded && other.outcome.Result != ResultPreempted {
@@ -304,5 +301,5 @@
 		}
 	}
 
-	return stands, exclude
+	return representative, exclude
 }
--- a/internal/dispatcher/hedging_test.go
+++ b/internal/dispatcher/hedging_test.go
@@ -18,10 +18,9 @@
 	failed = dispatcher.ResultFailed
 )
 
-// Symptom: a counter waits seconds for its first token while other servers are free.
-// Sequence: the first upstream straggles, refuses, breaks or goes silent; so may the second.
-// Cause: one attempt waits for its own upstream alone. With two at once, the end
-// of the slower must neither reach the answer nor count against its upstream.
+// Guards against a caller that waits seconds for its first token while other servers are free, because a single attempt
+// waits for its own upstream alone. The first upstream is slow, refuses, breaks off or goes silent, and so may the
+// second. The end of the slower attempt must neither reach the answer nor count against its upstream.
 func TestHedging(t *testing.T) {
 	slow, fast := script{first: 2 * time.Second, gap: ms}, script{first: 20 * ms, gap: ms}
 
@@ -46,8 +45,8 @@
 		"the slot comes all the same":     {upstreams: []script{{first: 150 * ms}, fast}, spareWait: time.Second, anyway: true, results: []string{"done", "superseded"}, under: 200 * ms},
 		"the budget is empty":             {upstreams: []script{slow, fast}, spent: 10, results: []string{"done", "superseded"}, under: 3 * time.Second},
 		"not repeatable":                  {upstreams: []script{slow, fast}, once: true, results: []string{"done"}, under: 3 * time.Second},
-		"error after the other won":       {upstreams: []script{{first: 300 * ms, deaf: true, result: failed}, {first: 20 * ms, gap: 100 * ms}}, results: []string{"superseded", "done"}, under: time.Second},
-		"token after the other won":       {upstreams: []script{{first: 300 * ms, deaf: true}, {first: 20 * ms, gap: 100 * ms}}, results: []string{"superseded", "done"}, under: time.Second},
+		"error after the other won":       {upstreams: []script{{first: 300 * ms, ignoresCancel: true, result: failed}, {first: 20 * ms, gap: 100 * ms}}, results: []string{"superseded", "done"}, under: time.Second},
+		"token after the other won":       {upstreams: []script{{first: 300 * ms, ignoresCancel: true}, {first: 20 * ms, gap: 100 * ms}}, results: []string{"superseded", "done"}, under: time.Second},
 		"the first fails":                 {upstreams: []script{{first: 200 * ms, result: failed}, {first: 300 * ms}}, results: []string{"failed", "done"}, under: time.Second},
 		"both fail":                       {upstreams: []script{{first: 200 * ms, result: failed}, {first: 300 * ms, result: failed}, fast}, results: []string{"failed", "failed", "done"}, under: time.Second},
 		"the winner breaks off":           {upstreams: []script{slow, {first: 20 * ms, result: failed, breakAfter: 3}, fast}, results: []string{"superseded", "failed", "done"}, under: 3 * time.Second},
@@ -67,7 +66,7 @@
 					time.AfterFunc(tt.leaves, cancel)
 				}
 
-				w := &world{upstreams: tt.upstreams, spare: !tt.noSpare, spareAnyway: tt.anyway, spareWait: tt.spareWait}
+				w := &fixture{upstreams: tt.upstreams, spare: !tt.noSpare, spareAnyway: tt.anyway, spareWait: tt.spareWait}
 				started := time.Now()
 				failure := w.run(ctx, !tt.once, tt.spent)
 
@@ -88,28 +87,27 @@
 	}
 }
 
-// Symptom: an answer holds tokens of two engines.
-// Sequence: both attempts have their first token at the same moment.
-// Cause: each looks whether the other delivered before either did.
+// Guards against an answer with tokens of two engines: both attempts have their first token at the same moment, and each
+// checks for the other before either has delivered.
 func TestBothFirstTokensAtOnce(t *testing.T) {
 	for range 50 {
 		synctest.Test(t, func(t *testing.T) {
-			// The second is sent when the first has been out for the hedger's 95th percentile, here 96 ms or so.
-			w := &world{upstreams: []script{{first: 200 * ms, gap: ms, deaf: true}, {first: 200*ms - hedgeDelay(t), gap: ms, deaf: true}}, spare: true}
+			// The second attempt is sent after the hedger's 95th percentile, here about 96 ms.
+			w := &fixture{upstreams: []script{{first: 200 * ms, gap: ms, ignoresCancel: true}, {first: 200*ms - hedgeDelay(t), gap: ms, ignoresCancel: true}}, spare: true}
 
 			assert.Assert(t, w.run(t.Context(), true, 0) == nil)
 			w.check(t)
 			assert.Equal(t, len(w.answer), wholeAnswer)
-			assert.Equal(t, w.flights, 2)
+			assert.Equal(t, w.maxRunning, 2)
 		})
 	}
 }
 
-// hedgeDelay measures the time after which the world's class is hedged.
+// hedgeDelay measures the time after which the fixture's class is hedged.
 func hedgeDelay(t *testing.T) time.Duration {
 	t.Helper()
 
-	w := &world{upstreams: []script{{first: time.Second}, {}}, spare: true}
+	w := &fixture{upstreams: []script{{first: time.Second}, {}}, spare: true}
 	started := time.Now()
 
 	assert.Assert(t, w.run(t.Context(), true, 0) == nil)
@@ -124,16 +122,16 @@
 		})
 		upstream := rapid.Custom(func(rt *rapid.T) script {
 			return script{
-				first:        instant.Draw(rt, "first"),
-				gap:          instant.Draw(rt, "gap"),
-				result:       rapid.SampledFrom([]dispatcher.Result{0, 0, 0, failed, dispatcher.ResultRefused, dispatcher.ResultSilent, dispatcher.ResultNotSent}).Draw(rt, "result"),
-				breakAfter:   rapid.IntRange(0, 3).Draw(rt, "break"),
-				deaf:         rapid.Bool().Draw(rt, "deaf"),
-				preemptAfter: rapid.SampledFrom([]time.Duration{0, 0, 0, 110 * ms, 250 * ms}).Draw(rt, "preempt"),
+				first:         instant.Draw(rt, "first"),
+				gap:           instant.Draw(rt, "gap"),
+				result:        rapid.SampledFrom([]dispatcher.Result{0, 0, 0, failed, dispatcher.ResultRefused, dispatcher.ResultSilent, dispatcher.ResultNotSent}).Draw(rt, "result"),
+				breakAfter:    rapid.IntRange(0, 3).Draw(rt, "break"),
+				ignoresCancel: rapid.Bool().Draw(rt, "deaf"),
+				preemptAfter:  rapid.SampledFrom([]time.Duration{0, 0, 0, 110 * ms, 250 * ms}).Draw(rt, "preempt"),
 			}
 		})
 
-		w := &world{
+		w := &fixture{
 			upstreams: rapid.SliceOfN(upstream, 1, 5).Draw(rt, "upstreams"),
 			spare:     rapid.IntRange(0, 3).Draw(rt, "spare") > 0,
 			spareWait: instant.Draw(rt, "spare wait"),
@@ -164,8 +162,8 @@
 			rt.Fatal("an answer is cut short")
 		}
 
-		if w.flights > 2 || (!repeatable && w.flights > 1) {
-			rt.Fatalf("%d attempts at once", w.flights)
+		if w.maxRunning > 2 || (!repeatable && w.maxRunning > 1) {
+			rt.Fatalf("%d attempts at once", w.maxRunning)
 		}
 
 		if extra := len(w.sent) - w.decided; extra > 1 || (spent == 10 && extra > 0) {
--- a/internal/dispatcher/history.go
+++ b/internal/dispatcher/history.go
@@ -2,16 +2,15 @@
 
 import "quincepath.example/quincepath/pkg/classifier"
 
-// History is what the attempts of one request have left behind. The zero value
-// is a request without attempts.
+// History summarises the attempts of one request. The zero value is a request without attempts.
 type History struct {
-	// Reached counts the attempts of which a byte may have arrived at an upstream; two at once count as one.
+	// Reached counts the attempts of which a byte may have reached an upstream; two concurrent attempts count as one.
 	Reached int
-	// Preempted counts the attempts that the holder ended; at most Reached.
+	// Preempted counts the attempts that the holder preempted; at most Reached.
 	Preempted int
-	// MayHaveRun is true once an upstream may have executed any part; it never becomes false again.
+	// MayHaveRun is true once an upstream may have executed any part of the request; it never becomes false again.
 	MayHaveRun bool
-	// Ran is true once a token of the answer came; it implies MayHaveRun.
+	// Ran is true once a token of the answer arrived; it implies MayHaveRun.
 	Ran bool
 }
 
@@ -31,8 +30,8 @@
 	return h
 }
 
-// WithConcurrentAttempt returns the history with an attempt that ran at the same time as the
-// one that stands for both. It changes what may have run, and is not counted.
+// WithConcurrentAttempt returns the history with an attempt that ran at the same time as the one that represents both.
+// It changes whether the request may have run, and is not counted.
 func (h History) WithConcurrentAttempt(outcome Outcome) History {
 	h.Ran = h.Ran || outcome.Tokens > 0 || outcome.DiscardedTokens > 0
 	h.MayHaveRun = h.MayHaveRun || h.Ran || outcome.Result.mayHaveRun()
@@ -40,9 +39,8 @@
 	return h
 }
 
-// RanState says what a final answer may claim. "Not run" needs every attempt to
-// be surely not run: a later attempt that was refused doesn't undo an earlier
-// one that broke off.
+// RanState returns what the final answer may say about whether the request ran. RanNo requires that no attempt can have
+// run: a later attempt that was refused does not undo an earlier one that broke off.
 func (h History) RanState() classifier.Ran {
 	switch {
 	case h.Ran:
@@ -54,7 +52,7 @@
 	}
 }
 
-// mayHaveRun says whether an upstream may have executed part of an attempt that ended so.
+// mayHaveRun reports whether an upstream may have executed part of an attempt with this result.
 func (r Result) mayHaveRun() bool {
 	return r != ResultNotSent && r != ResultRefused && r != ResultRejected
 }
--- a/internal/dispatcher/preemption_test.go
+++ b/internal/dispatcher/preemption_test.go
@@ -12,7 +12,7 @@
 	"quincepath.example/quincepath/pkg/classifier"
 )
 
-// preempting grants slots that are taken back after a second.
+// preempting grants slots that are preempted after a second.
 type preempting struct{ results []Result }
 
 func (p *preempting) Acquire(context.Context, SlotRequest) (Slot, error) {
@@ -43,9 +43,8 @@
 
 func (p *preempting) AttemptEnded(Request, Attempt, Outcome, RetryDecision) {}
 
-// Symptom: a booking gets no answer, and nobody can tell whether it was made.
-// Sequence: its slot is taken back for a higher tier while the service works on it.
-// Cause: an attempt that can't be sent again is cancelled like one that can.
+// Guards against cancelling an attempt that cannot be sent again. If its slot is preempted for a higher tier while the
+// service works on it, the caller gets no answer, and nobody can tell whether the booking was made.
 func TestNotRepeatableIsNotCancelled(t *testing.T) {
 	tests := map[string]struct {
 		repeatable bool
--- a/internal/dispatcher/quarantine.go
+++ b/internal/dispatcher/quarantine.go
@@ -7,21 +7,21 @@
 	"quincepath.example/quincepath/pkg/classifier"
 )
 
-// Quarantine keeps requests that crash upstreams from running.
+// Quarantine prevents requests that crash upstreams from running.
 type Quarantine interface {
-	// Check returns how much longer a request must not run; false if it may.
+	// Check returns the remaining time of the quarantine of a request, and false if the request may run.
 	Check(request Request) (time.Duration, bool)
-	// Ended tells how an attempt ended that was sent and not superseded.
+	// Ended reports the outcome of an attempt that was sent and not superseded.
 	Ended(request Request, attempt Attempt, outcome Outcome)
 }
 
-// SetQuarantine keeps requests from running that crash upstreams. Call it before the first request.
+// SetQuarantine makes the dispatcher refuse requests that are in quarantine. Call it before the first request.
 func (d *Dispatcher) SetQuarantine(quarantine Quarantine) {
 	d.quarantine = quarantine
 }
 
-// held returns how much longer a request must not run; false if it may.
-func (d *Dispatcher) held(request Request) (time.Duration, bool) {
+// inQuarantine returns the remaining time of the quarantine of a request, and false if the request may run.
+func (d *Dispatcher) inQuarantine(request Request) (time.Duration, bool) {
 	if d.quarantine == nil {
 		return 0, false
 	}
@@ -29,9 +29,9 @@
 	return d.quarantine.Check(request)
 }
 
-// quarantined returns the final result of a request that must not run, or not once more.
-func (d *Dispatcher) quarantined(request Request, history History) *classifier.Error {
-	left, held := d.held(request)
+// quarantineError returns the error of a request that must not run, or must not run again.
+func (d *Dispatcher) quarantineError(request Request, history History) *classifier.Error {
+	remaining, held := d.inQuarantine(request)
 	if !held {
 		return nil
 	}
@@ -40,14 +40,14 @@
 		failure := classifier.New(classifier.UpstreamFailed, "upstreams crashed while they ran the request")
 		failure.Ran = ran
 
-		return failure.After(left)
+		return failure.After(remaining)
 	}
 
-	return quarantiner.Refusal(left)
+	return quarantiner.Refusal(remaining)
 }
 
-// tellEnd tells the quarantine how an attempt ended.
-func (d *Dispatcher) tellEnd(request Request, attempt Attempt, outcome Outcome) {
+// reportEnd reports the outcome of an attempt to the quarantine.
+func (d *Dispatcher) reportEnd(request Request, attempt Attempt, outcome Outcome) {
 	if d.quarantine != nil && outcome.Result != ResultSuperseded {
 		d.quarantine.Ended(request, attempt, outcome)
 	}
--- a/internal/dispatcher/quarantine_test.go
+++ b/internal/dispatcher/quarantine_test.go
@@ -11,7 +11,7 @@
 	"quincepath.example/quincepath/pkg/classifier"
 )
 
-// quarantineAt holds the request from a time on and keeps what it is told.
+// quarantineAt quarantines the request from a given time on and records the outcomes that it receives.
 type quarantineAt struct {
 	from  time.Time
 	ended []string
@@ -27,14 +27,14 @@
 	q.ended = append(q.ended, outcome.Result.String())
 }
 
-// Guards against: a request that crashes upstreams is sent, sent once more, or gets a second attempt beside the first.
+// Guards against sending a request that crashes upstreams, sending it again, or hedging it.
 func TestRequestInQuarantineIsNotSent(t *testing.T) {
 	slow, fast := script{first: 500 * ms, gap: ms}, script{first: 20 * ms, gap: ms}
 	broken := script{first: 20 * ms, result: failed}
 
 	tests := map[string]struct {
 		upstreams []script
-		// after is when the request is found out.
+		// after is when the request is quarantined.
 		after time.Duration
 		code  classifier.Code
 		ran   classifier.Ran
@@ -51,7 +51,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				q := &quarantineAt{from: time.Now().Add(tt.after)}
-				w := &world{upstreams: tt.upstreams, spare: true, quarantine: q}
+				w := &fixture{upstreams: tt.upstreams, spare: true, quarantine: q}
 				failure := w.run(t.Context(), true, 0)
 
 				w.check(t)
