--- a/internal/quarantiner/counters.go
+++ b/internal/quarantiner/counters.go
@@ -27,7 +27,7 @@
 	defer q.mu.Unlock()
 
 	counters := q.counters
-	counters.InQuarantine, counters.TrackedRequests, counters.DetectorEntries = q.table.size(), q.runCount(), q.judge.size()
+	counters.InQuarantine, counters.TrackedRequests, counters.DetectorEntries = q.table.size(), q.requestCount(), q.detector.size()
 
 	return counters
 }
--- /dev/null
+++ b/internal/quarantiner/failures.go
@@ -0,0 +1,247 @@
+package quarantiner
+
+import (
+	"context"
+	"slices"
+	"time"
+)
+
+const (
+	// checkDelay is how long after a connection broke the upstream is checked: its process may still be exiting.
+	checkDelay = 50 * time.Millisecond
+	// checkInterval is the minimum time between two checks of one upstream.
+	checkInterval = time.Second
+	// checkTimeout is the time limit of a check.
+	checkTimeout = 500 * time.Millisecond
+	// confirmWindow is how long after its connections broke an upstream that leaves the list counts as crashed.
+	confirmWindow = 10 * time.Second
+	// maxKeysPerCrash bounds the requests that this node reports of one crash, maxTrackedRequests those of all.
+	maxKeysPerCrash    = 256
+	maxTrackedRequests = 2048
+)
+
+// upstreamFailure is an upstream on which requests of this node broke off.
+type upstreamFailure struct {
+	instance Instance
+	at       time.Time
+	address  string
+	// requests are those that broke off; the first of them, as many as reported, were sent to the coordinators.
+	requests []brokenRequest
+	reported int
+	// checkedAt is the time of the last check; zero before the first.
+	checkedAt time.Time
+	// isUp is true if the upstream accepted a connection at that check.
+	isUp bool
+	// crashed is true if the upstream is known to have crashed, rather than to have broken off only these requests.
+	crashed bool
+}
+
+// brokenRequest is one request that broke off.
+type brokenRequest struct {
+	key Key
+	// answering is true if part of the answer had arrived.
+	answering bool
+}
+
+// Broke records that a request's connection broke while an upstream ran the request, or that the upstream went silent.
+// answering is true if part of the answer had arrived.
+func (q *Quarantiner) Broke(key Key, upstream, address string, answering bool) {
+	now := time.Now()
+
+	q.mu.Lock()
+	defer q.mu.Unlock()
+
+	listed, ok := q.listed[upstream]
+	if ok && listed.Draining {
+		return
+	}
+
+	instance := Instance{Upstream: upstream, Born: listed.Born}
+	failure, known := q.findFailure(instance, now)
+
+	if !known {
+		q.expire(now)
+
+		failure = &upstreamFailure{instance: instance, at: now, address: address}
+		q.failures = append(q.failures, failure)
+	}
+
+	if failure.isUp {
+		// The upstream survived the earlier interruptions, so these are no crash.
+		failure.isUp, failure.at, failure.requests = false, now, nil
+	}
+
+	if len(failure.requests) < maxKeysPerCrash && !slices.ContainsFunc(failure.requests, func(r brokenRequest) bool { return r.key == key }) {
+		failure.requests = append(failure.requests, brokenRequest{key: key, answering: answering})
+		q.dropExcess()
+	}
+}
+
+// findFailure returns the recorded failure of an instance; q.mu is held.
+func (q *Quarantiner) findFailure(instance Instance, now time.Time) (*upstreamFailure, bool) {
+	i := slices.IndexFunc(q.failures, func(s *upstreamFailure) bool { return s.instance.isSameStart(instance, now.Sub(s.at)) })
+	if i < 0 {
+		return nil, false
+	}
+
+	return q.failures[i], true
+}
+
+// expire drops old crashes, and interruptions that did not turn out to be crashes; q.mu is held.
+func (q *Quarantiner) expire(now time.Time) {
+	q.failures = slices.DeleteFunc(q.failures, func(s *upstreamFailure) bool {
+		age := now.Sub(s.at)
+
+		return age > crashTTL || !s.crashed && age > confirmWindow
+	})
+}
+
+// dropExcess drops the oldest failures beyond maxTrackedRequests; q.mu is held.
+func (q *Quarantiner) dropExcess() {
+	for q.requestCount() > maxTrackedRequests {
+		q.failures = slices.Delete(q.failures, 0, 1)
+	}
+}
+
+// requestCount returns the number of requests over all failures; q.mu is held.
+func (q *Quarantiner) requestCount() int {
+	count := 0
+	for _, failure := range q.failures {
+		count += len(failure.requests)
+	}
+
+	return count
+}
+
+// startDueChecks returns the failures whose upstreams are to be checked now, and records the time of the check.
+func (q *Quarantiner) startDueChecks(now time.Time) []*upstreamFailure {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+
+	var due []*upstreamFailure
+
+	for _, s := range q.failures {
+		isBroken := !s.crashed && !s.isUp && s.checkedAt.Before(s.at)
+		if isBroken && now.Sub(s.at) >= checkDelay && now.Sub(s.checkedAt) >= checkInterval {
+			s.checkedAt = now
+			due = append(due, s)
+		}
+	}
+
+	return due
+}
+
+// check determines whether the upstream crashed or only broke off single requests.
+func (q *Quarantiner) check(ctx context.Context, failure *upstreamFailure) {
+	ctx, cancel := context.WithTimeout(ctx, checkTimeout)
+	defer cancel()
+
+	down := q.options.IsDown(ctx, failure.instance.Upstream, failure.address)
+
+	q.mu.Lock()
+	defer q.mu.Unlock()
+
+	if down {
+		q.confirmCrash(failure, "takes_no_connection")
+
+		return
+	}
+
+	if !failure.crashed {
+		failure.isUp = true
+		q.counters.Interruptions++
+	}
+}
+
+// confirmCrash records that the upstream crashed; q.mu is held.
+func (q *Quarantiner) confirmCrash(failure *upstreamFailure, evidence string) {
+	if failure.crashed {
+		return
+	}
+
+	failure.crashed = true
+	q.counters.Crashes++
+	q.options.Logger.Info().Str("upstream", failure.instance.Upstream).Int64("born", failure.instance.Born).
+		Int("requests", len(failure.requests)).Str("evidence", evidence).Msg("upstream_crashed")
+}
+
+// confirmUnlisted marks upstreams as crashed that left the list, or were started again, within confirmWindow after their
+// connections broke; q.mu is held.
+func (q *Quarantiner) confirmUnlisted() {
+	now := time.Now()
+
+	for _, s := range q.failures {
+		listed, ok := q.listed[s.instance.Upstream]
+		if now.Sub(s.at) <= confirmWindow && (!ok || listed.Born != 0 && s.instance.Born != 0 && listed.Born != s.instance.Born) {
+			q.confirmCrash(s, "not_listed")
+		}
+	}
+}
+
+// pendingReport is the part of a failure that is being reported.
+type pendingReport struct {
+	*upstreamFailure
+	crashReport
+}
+
+// startReports returns the requests of crashes that were not reported yet, and marks the reporting as running.
+func (q *Quarantiner) startReports(now time.Time) []pendingReport {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+
+	if q.reporting {
+		return nil
+	}
+
+	var reports []pendingReport
+
+	for _, s := range q.failures {
+		if s.crashed && s.reported < len(s.requests) {
+			reports = append(reports, pendingReport{upstreamFailure: s, crashReport: newCrashReport(s, now)})
+		}
+	}
+
+	q.reporting = len(reports) > 0
+
+	return reports
+}
+
+// sendReports reports crashes to the coordinators. Reports that did not reach all of them are sent again.
+func (q *Quarantiner) sendReports(ctx context.Context, coordinators []string, reports []pendingReport) {
+	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
+	defer cancel()
+
+	reached := true
+	crashes := make([]crashReport, 0, len(reports))
+
+	for _, r := range reports {
+		crashes = append(crashes, r.crashReport)
+	}
+
+	for _, node := range coordinators {
+		if node == q.options.Self {
+			q.addReports(crashes)
+
+			continue
+		}
+
+		if err := q.options.Peers.Notify(ctx, node, MethodReport, reportParams{Crashes: crashes}); err != nil {
+			q.options.Logger.Info().Err(err).Str("peer", node).Msg("crash_report_failed")
+
+			reached = false
+		}
+	}
+
+	q.mu.Lock()
+	defer q.mu.Unlock()
+
+	q.reporting = false
+
+	if !reached || !slices.Equal(coordinators, q.coordinators) {
+		return
+	}
+
+	for _, r := range reports {
+		r.reported += len(r.Waiting) + len(r.Answering)
+	}
+}
--- a/internal/quarantiner/key.go
+++ b/internal/quarantiner/key.go
@@ -1,5 +1,4 @@
-// Package quarantiner finds requests that crash the upstreams that run them, and
-// keeps them from running.
+// Package quarantiner detects requests that crash the upstreams that run them, and prevents them from running.
 package quarantiner
 
 import (
@@ -11,13 +10,14 @@
 	"github.com/cockroachdb/errors"
 )
 
-// keyBytes is the length of a Key; enough that no two requests share one by chance or by design.
+// keyBytes is the length of a Key. It is long enough that no two requests share a key by chance or by design.
 const keyBytes = 16
 
-// Key names what a request asks for and who asks, whatever its id: a request that is sent again has the same one.
+// Key identifies a request by its content and caller, whatever its request id: a request that is sent again has the same
+// key.
 type Key [keyBytes]byte
 
-// KeyOf returns the key of a request. The caller is its organisation, empty where it shows none; uri is the path with the query.
+// KeyOf returns the key of a request. caller is its organisation, empty if it has none; uri is the path with the query.
 func KeyOf(caller, method, host, uri string, body []byte) Key {
 	sum := sha256.New()
 
@@ -47,10 +47,10 @@
 // UnmarshalText implements encoding.TextUnmarshaler.
 func (k *Key) UnmarshalText(text []byte) error {
 	if len(text) != hex.EncodedLen(keyBytes) {
-		return errors.Newf("a request key has %d digits, not %d", hex.EncodedLen(keyBytes), len(text))
+		return errors.Newf("request key must have %d hexadecimal digits, not %d", hex.EncodedLen(keyBytes), len(text))
 	}
 
 	_, err := hex.Decode(k[:], text)
 
-	return errors.Wrap(err, "read a request key")
+	return errors.Wrap(err, "decode request key")
 }
--- a/internal/quarantiner/key_test.go
+++ b/internal/quarantiner/key_test.go
@@ -20,7 +20,7 @@
 		quarantiner.KeyOf("salon", "POST", "desk.example", "/chat/1?x=2", []byte("body")),
 		quarantiner.KeyOf("salon", "POST", "shop.example", "/chat/1?x=3", []byte("body")),
 		quarantiner.KeyOf("salon", "POST", "shop.example", "/chat/1?x=2", []byte("bodies")),
-		// The same bytes, parted in another way.
+		// The same bytes, split at another place.
 		quarantiner.KeyOf("salon", "POST", "shop.example/chat", "/1?x=2", []byte("body")),
 	}
 	for _, other := range others {
--- a/internal/quarantiner/messages.go
+++ b/internal/quarantiner/messages.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// reportParams and the types below are the messages between nodes.
+// reportParams and the types below are the payloads of the RPC methods between nodes.
 type reportParams struct {
 	Crashes []crashReport `json:"crashes"`
 }
 
-// crashReport names requests of the sender that ran on an upstream when it crashed.
+// crashReport lists requests of the sender that ran on an upstream when it crashed.
 type crashReport struct {
 	Instance
-	// AgeMS is how long ago that was.
+	// AgeMS is how long ago the crash was.
 	AgeMS int64 `json:"age_ms"`
-	// Answering are those of which part of the answer had come, Waiting the others.
+	// Answering are the requests of which part of the answer had arrived, Waiting the others.
 	Waiting   []Key `json:"waiting,omitempty"`
 	Answering []Key `json:"answering,omitempty"`
 }
 
-// newCrashReport returns what the judges weren't told of a crash.
-func newCrashReport(s *seen, now time.Time) crashReport {
-	report := crashReport{Instance: s.instance, AgeMS: now.Sub(s.at).Milliseconds()}
+// newCrashReport returns the requests of a failure that were not reported yet.
+func newCrashReport(failure *upstreamFailure, now time.Time) crashReport {
+	report := crashReport{Instance: failure.instance, AgeMS: now.Sub(failure.at).Milliseconds()}
 
-	for _, r := range s.runs[s.told:] {
+	for _, r := range failure.requests[failure.reported:] {
 		if r.answering {
 			report.Answering = append(report.Answering, r.key)
 		} else {
@@ -36,18 +36,18 @@
 	return report
 }
 
-type testifyParams struct {
-	Suspects []suspicion `json:"suspects"`
+type queryAnsweredParams struct {
+	Suspects []suspectItem `json:"suspects"`
 }
 
-type suspicion struct {
+type suspectItem struct {
 	Key Key `json:"key"`
-	// AgeMS is how long ago the first crash under it was.
+	// AgeMS is how long ago its first crash was.
 	AgeMS int64 `json:"age_ms"`
 }
 
-type testimony struct {
-	// Answered are the requests that the node has seen answered since.
+type queryAnsweredResult struct {
+	// Answered are the suspects that the node saw answered since their first crash.
 	Answered []Key `json:"answered,omitempty"`
 }
 
@@ -55,19 +55,19 @@
 	Entries []Quarantine `json:"entries"`
 }
 
-// HandleReport answers MethodReport.
+// HandleReport handles MethodReport.
 func (q *Quarantiner) HandleReport(_ context.Context, _ string, params json.RawMessage) (any, error) {
 	var told reportParams
 	if err := json.Unmarshal(params, &told); err != nil {
 		return nil, err
 	}
 
-	q.takeIn(told.Crashes)
+	q.addReports(told.Crashes)
 
 	return struct{}{}, nil
 }
 
-func (q *Quarantiner) takeIn(reports []crashReport) {
+func (q *Quarantiner) addReports(reports []crashReport) {
 	now := time.Now()
 	quarantined := func(key Key) bool {
 		_, held := q.table.find(now, key)
@@ -77,27 +77,27 @@
 
 	for _, r := range reports {
 		at := now.Add(-time.Duration(r.AgeMS) * time.Millisecond)
-		q.judge.report(now, at, r, quarantined)
+		q.detector.addReport(now, at, r, quarantined)
 	}
 }
 
-// HandleQueryAnswered answers MethodQueryAnswered.
+// HandleQueryAnswered handles MethodQueryAnswered.
 func (q *Quarantiner) HandleQueryAnswered(_ context.Context, _ string, params json.RawMessage) (any, error) {
-	var asked testifyParams
+	var asked queryAnsweredParams
 	if err := json.Unmarshal(params, &asked); err != nil {
 		return nil, err
 	}
 
-	return q.testify(asked), nil
+	return q.queryAnswered(asked), nil
 }
 
-func (q *Quarantiner) testify(asked testifyParams) testimony {
+func (q *Quarantiner) queryAnswered(asked queryAnsweredParams) queryAnsweredResult {
 	now := time.Now()
 
-	var answer testimony
+	var answer queryAnsweredResult
 
 	for _, s := range asked.Suspects {
-		if q.witness.saw(s.Key, now.Add(-time.Duration(s.AgeMS)*time.Millisecond)) {
+		if q.answeredLog.contains(s.Key, now.Add(-time.Duration(s.AgeMS)*time.Millisecond)) {
 			answer.Answered = append(answer.Answered, s.Key)
 		}
 	}
@@ -105,7 +105,7 @@
 	return answer
 }
 
-// HandleQuarantine answers MethodQuarantine.
+// HandleQuarantine handles MethodQuarantine.
 func (q *Quarantiner) HandleQuarantine(_ context.Context, from string, params json.RawMessage) (any, error) {
 	var told quarantineParams
 	if err := json.Unmarshal(params, &told); err != nil {
@@ -116,7 +116,7 @@
 
 	for _, entry := range told.Entries {
 		if q.table.add(now, entry) {
-			q.enter(entry, from)
+			q.onQuarantined(entry, from)
 		}
 	}
 
--- a/internal/quarantiner/quarantiner.go
+++ b/internal/quarantiner/quarantiner.go
@@ -13,125 +13,127 @@
 )
 
 const (
-	// tick is how often a node looks at what is due.
-	tick = 100 * time.Millisecond
-	// judges is the number of nodes that hear of all crashes: the one that decides and its standby.
-	judges = 2
-	// judgesName is what the judges are chosen for.
-	judgesName = "quarantine"
-	// judgesInterval is the time between two looks at who the judges are.
-	judgesInterval = 500 * time.Millisecond
-	// peerTimeout bounds a message to a peer.
+	// stepInterval is how often a node looks for due work.
+	stepInterval = 100 * time.Millisecond
+	// coordinatorCount is the number of nodes that receive all crash reports: the one that decides and its standby.
+	coordinatorCount = 2
+	// coordinatorsKey is the key for which the coordinators are chosen.
+	coordinatorsKey = "quarantine"
+	// coordinatorsInterval is the time between two updates of the coordinators.
+	coordinatorsInterval = 500 * time.Millisecond
+	// peerTimeout is the time limit of a call to a peer.
 	peerTimeout = 300 * time.Millisecond
-	// peerWorkers is the number of peers that are reached at once.
-	peerWorkers = 32
-	// lookInterval is the time between two looks for suspects while no crash is reported.
-	lookInterval = time.Second
-	// repeatInterval is the time between two tries to make a quarantine known and lasting.
-	repeatInterval = time.Second
-	// sweepInterval is the time between two looks for quarantines that are over.
+	// maxConcurrentPeerCalls is the number of peers that are called at once.
+	maxConcurrentPeerCalls = 32
+	// evaluationInterval is the time between two evaluations while no new crash is reported.
+	evaluationInterval = time.Second
+	// resendInterval is the time between two attempts to broadcast and store quarantines that the store does not list
+	// yet.
+	resendInterval = time.Second
+	// sweepInterval is the time between two removals of expired quarantines.
 	sweepInterval = time.Minute
 )
 
-// Methods between nodes.
+// RPC methods between nodes.
 const (
-	// MethodReport tells a judge what ran on upstreams that crashed.
+	// MethodReport tells a coordinator which requests ran on upstreams that crashed.
 	MethodReport = "quarantine.report"
-	// MethodQueryAnswered asks a node which requests it has seen answered.
+	// MethodQueryAnswered asks a node which requests it saw answered.
 	MethodQueryAnswered = "quarantine.testify"
-	// MethodQuarantine tells a node of requests in quarantine.
+	// MethodQuarantine tells a node which requests are in quarantine.
 	MethodQuarantine = "quarantine.put"
 )
 
-// Peers reaches other nodes.
+// Peers calls other nodes.
 type Peers interface {
 	Call(ctx context.Context, peer, method string, params, result any) error
 	Notify(ctx context.Context, peer, method string, params any) error
 }
 
-// Recorder keeps quarantines where they outlast all nodes. Both calls may be repeated.
+// Recorder stores quarantines so that they survive the loss of all nodes. Both calls must be safe to repeat.
 type Recorder interface {
 	Record(ctx context.Context, entries []Quarantine) error
 	Release(ctx context.Context, keys []Key) error
 }
 
-// Options are the parts of a Quarantiner; all are required.
+// Options configure a Quarantiner; all are required.
 type Options struct {
 	// Self is this node's name.
 	Self string
-	// Live returns the names of the nodes that answer, this one included.
+	// Live returns the names of the nodes that respond, including this one.
 	Live func() []string
-	// CoordinatorCandidates returns the names of the nodes among which the judges are chosen.
+	// CoordinatorCandidates returns the names of the nodes among which the coordinators are chosen.
 	CoordinatorCandidates func() []string
 	Peers                 Peers
-	// IsDown says whether an upstream takes no connection. It returns false where that isn't known.
+	// IsDown reports whether an upstream accepts no connection. It returns false if that is not known.
 	IsDown   func(ctx context.Context, upstream, address string) bool
 	Recorder Recorder
 	Logger   zerolog.Logger
 }
 
-// Upstream is what is listed of one upstream.
+// Upstream is an upstream as the registry or the settings list it.
 type Upstream struct {
 	Instance
-	// Draining upstreams end by plan.
+	// Draining is true for an upstream that is being shut down on purpose; its broken connections are no crashes.
 	Draining bool
 }
 
-// Quarantiner keeps requests that crash upstreams from running, on all nodes. It is safe for concurrent use.
+// Quarantiner detects requests that crash upstreams and prevents them from running on any node. It is safe for
+// concurrent use.
 //
-// Each node reports what ran on an upstream that crashed to the judges, two nodes that all choose alike. The first of them asks
-// all nodes whether a suspect was answered meanwhile. If not, it is quarantined: told to all nodes, and written to the
-// platform's store, from which nodes learn of it that start later.
+// Each node reports the requests that ran on a crashed upstream to two coordinators, which all nodes choose alike. The
+// first of them asks all nodes whether a suspect was answered since its first crash. If it was not, it is quarantined:
+// all nodes are told, and it is written to the platform's store, from which nodes that start later read it.
 //
-// Lock order: Quarantiner.mu, then that of the judge, then that of the table. None is held during calls.
+// Lock order: Quarantiner.mu, then the detector's, then the table's. No lock is held during calls.
 type Quarantiner struct {
-	options Options
-	table   *table
-	judge   *judge
-	witness *witness
+	options     Options
+	table       *table
+	detector    *detector
+	answeredLog *answeredLog
 
 	mu       sync.Mutex
 	counters Counters
-	// listed are the upstreams by their id.
+	// listed holds the listed upstreams by id.
 	listed map[string]Upstream
-	// crashes are what this node saw itself, the oldest first.
-	crashes []*seen
-	// nodes are those among which the judges are chosen.
-	nodes    *chooser.Chooser
-	judges   []string
-	chosenAt time.Time
-	// reporting, inquiring and repeating say that such a task is under way.
-	reporting, inquiring, repeating bool
-	lookedAt, repeatedAt, sweptAt   time.Time
+	// failures are the upstreams on which this node's own requests broke off, oldest first.
+	failures []*upstreamFailure
+	// candidates are the nodes among which the coordinators are chosen.
+	candidates   *chooser.Chooser
+	coordinators []string
+	chosenAt     time.Time
+	// reporting, evaluating and resending are true while such a task runs.
+	reporting, evaluating, resending bool
+	evaluatedAt, resentAt, sweptAt   time.Time
 }
 
-// New returns a quarantiner that holds nothing.
+// New returns a Quarantiner without quarantined requests.
 func New(options Options) *Quarantiner {
 	return &Quarantiner{
-		options: options,
-		table:   newTable(),
-		judge:   &judge{},
-		witness: &witness{},
-		listed:  make(map[string]Upstream),
+		options:     options,
+		table:       newTable(),
+		detector:    &detector{},
+		answeredLog: &answeredLog{},
+		listed:      make(map[string]Upstream),
 	}
 }
 
-// Check returns how much longer a request is in quarantine; false if it may run.
+// Check returns the remaining time of the quarantine of a request, and false if the request may run.
 func (q *Quarantiner) Check(key Key) (time.Duration, bool) {
-	left, held := q.table.find(time.Now(), key)
-	if held {
+	remaining, quarantined := q.table.find(time.Now(), key)
+	if quarantined {
 		q.count(func(c *Counters) { c.Refused++ })
 	}
 
-	return left, held
+	return remaining, quarantined
 }
 
-// Answered notes that an upstream answered a request whole.
+// Answered records that an upstream answered a request completely.
 func (q *Quarantiner) Answered(key Key) {
-	q.witness.note(time.Now(), key)
+	q.answeredLog.add(time.Now(), key)
 }
 
-// Update takes in the listed upstreams and the quarantines that the store holds.
+// Update replaces the listed upstreams and the quarantines that the store holds.
 func (q *Quarantiner) Update(upstreams []Upstream, quarantined []Quarantine) {
 	listed := make(map[string]Upstream, len(upstreams))
 	for _, upstream := range upstreams {
@@ -139,7 +141,7 @@
 	}
 
 	for _, added := range q.table.replace(quarantined) {
-		q.enter(added, "store")
+		q.onQuarantined(added, "store")
 	}
 
 	q.mu.Lock()
@@ -149,18 +151,19 @@
 	q.confirmUnlisted()
 }
 
-// enter notes that a request is in quarantine now.
-func (q *Quarantiner) enter(added Quarantine, source string) {
-	q.judge.solve(added.Key)
+// onQuarantined stops the detector from counting the crashes of a newly quarantined request against others, and logs the
+// quarantine.
+func (q *Quarantiner) onQuarantined(added Quarantine, source string) {
+	q.detector.explain(added.Key)
 	q.options.Logger.Info().Stringer("request_key", added.Key).Int("crashes", added.Crashes).
 		Int64("since", added.Since).Str("source", source).Msg("request_quarantined")
 }
 
-// Run reports, judges and spreads until ctx ends.
+// Run reports crashes, evaluates suspects and distributes quarantines until ctx ends.
 func (q *Quarantiner) Run(ctx context.Context) {
-	workers := pond.NewPool(peerWorkers, pond.WithContext(ctx))
+	workers := pond.NewPool(maxConcurrentPeerCalls, pond.WithContext(ctx))
 
-	ticker := time.NewTicker(tick)
+	ticker := time.NewTicker(stepInterval)
 	defer ticker.Stop()
 
 	for {
@@ -174,37 +177,38 @@
 }
 
 func (q *Quarantiner) step(ctx context.Context, now time.Time, workers pond.Pool) {
-	chosen := q.chooseJudges(now)
+	coordinators := q.chooseCoordinators(now)
 
-	for _, s := range q.takeChecks(now) {
+	for _, s := range q.startDueChecks(now) {
 		go q.check(ctx, s)
 	}
 
-	if reports := q.takeReports(now); len(reports) > 0 {
-		go q.sendReports(ctx, chosen, reports)
+	if reports := q.startReports(now); len(reports) > 0 {
+		go q.sendReports(ctx, coordinators, reports)
 	}
 
-	if len(chosen) == 0 || chosen[0] != q.options.Self {
+	if len(coordinators) == 0 || coordinators[0] != q.options.Self {
 		return
 	}
 
-	if q.takeRepeat(now) {
-		go q.repeat(ctx, workers)
+	if q.startResend(now) {
+		go q.resend(ctx, workers)
 	}
 
-	if suspects := q.takeSuspects(now); len(suspects) > 0 {
-		go q.inquire(ctx, workers, suspects)
+	if suspects := q.startEvaluation(now); len(suspects) > 0 {
+		go q.evaluateSuspects(ctx, workers, suspects)
 	}
 
-	if q.takeSweep(now) {
+	if q.startSweep(now) {
 		go q.sweep(ctx)
 	}
 }
 
-// chooseJudges returns the nodes that hear of all crashes now. New ones are told of those that this node saw before.
-func (q *Quarantiner) chooseJudges(now time.Time) []string {
+// chooseCoordinators returns the present coordinators. After a change, all crashes that this node saw are reported
+// again, since the new coordinators do not know them.
+func (q *Quarantiner) chooseCoordinators(now time.Time) []string {
 	q.mu.Lock()
-	chosen, isFresh := q.judges, now.Sub(q.chosenAt) < judgesInterval
+	chosen, isFresh := q.coordinators, now.Sub(q.chosenAt) < coordinatorsInterval
 	q.mu.Unlock()
 
 	if isFresh {
@@ -218,27 +222,27 @@
 
 	q.chosenAt = now
 
-	nodes := q.nodes.WithNodes(live)
-	if nodes == q.nodes {
-		return q.judges
+	nodes := q.candidates.WithNodes(live)
+	if nodes == q.candidates {
+		return q.coordinators
 	}
 
-	q.nodes = nodes
-	chosen = nodes.ChooseN(judgesName, judges)
+	q.candidates = nodes
+	chosen = nodes.ChooseN(coordinatorsKey, coordinatorCount)
 
-	if !slices.Equal(chosen, q.judges) {
-		q.judges = chosen
+	if !slices.Equal(chosen, q.coordinators) {
+		q.coordinators = chosen
 
-		for _, s := range q.crashes {
-			s.told = 0
+		for _, s := range q.failures {
+			s.reported = 0
 		}
 	}
 
-	return q.judges
+	return q.coordinators
 }
 
-// onPeers runs a call for each other live node, several at once, and waits for all of them.
-func (q *Quarantiner) onPeers(ctx context.Context, workers pond.Pool, call func(ctx context.Context, peer string)) {
+// callPeers runs a call for each other live node concurrently and waits for all of them.
+func (q *Quarantiner) callPeers(ctx context.Context, workers pond.Pool, call func(ctx context.Context, peer string)) {
 	group := workers.NewGroupContext(ctx)
 
 	for _, peer := range q.options.Live() {
@@ -254,6 +258,6 @@
 		})
 	}
 
-	// It fails only when ctx ends.
+	// The only error is the end of ctx.
 	_ = group.Wait()
 }
--- a/internal/quarantiner/quarantiner_test.go
+++ b/internal/quarantiner/quarantiner_test.go
@@ -17,18 +17,18 @@
 	"quincepath.example/quincepath/internal/quarantiner"
 )
 
-// fleet is some nodes in one process with the upstreams that they know and a store.
+// fleet is several nodes in one process, with the upstreams that they know and a store.
 type fleet struct {
 	t *testing.T
 
 	mu    sync.Mutex
 	nodes map[string]*node
-	// alive are the upstreams that take connections.
+	// alive are the upstreams that accept connections.
 	alive map[string]bool
-	// stored is what the store holds; it takes nothing while it is away.
-	stored map[quarantiner.Key]quarantiner.Quarantine
-	away   bool
-	// answering are the requests of which part of the answer has come whenever an upstream crashes.
+	// stored is what the store holds; while storeDown is true, writes to the store fail.
+	stored    map[quarantiner.Key]quarantiner.Quarantine
+	storeDown bool
+	// answering are the requests of which part of the answer has arrived whenever an upstream crashes.
 	answering map[quarantiner.Key]bool
 }
 
@@ -125,7 +125,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
-	if f.away {
+	if f.storeDown {
 		return errors.New("away")
 	}
 
@@ -148,7 +148,7 @@
 	return nil
 }
 
-// start starts a node that knows what the store holds.
+// start starts a node and gives it what the store holds.
 func (f *fleet) start(name string) {
 	q := quarantiner.New(quarantiner.Options{
 		Self: name, Live: f.live, CoordinatorCandidates: f.live, Peers: peers{fleet: f, self: name},
@@ -179,7 +179,7 @@
 	delete(f.nodes, name)
 }
 
-// list tells all nodes what the store lists.
+// list updates all nodes with the listed upstreams and quarantines.
 func (f *fleet) list() {
 	f.mu.Lock()
 
@@ -213,7 +213,7 @@
 	f.list()
 }
 
-// crash ends an upstream that runs the requests, one at each node in turn.
+// crash stops an upstream that runs the requests. They are distributed over the nodes in turn.
 func (f *fleet) crash(upstream string, keys ...quarantiner.Key) {
 	f.mu.Lock()
 	f.alive[upstream] = false
@@ -227,7 +227,7 @@
 	time.Sleep(time.Second)
 }
 
-// crashThree crashes three upstreams one after the other under the culprit.
+// crashThree crashes three upstreams one after the other while they run the culprit.
 func (f *fleet) crashThree() {
 	f.add("a", "b", "c")
 
@@ -244,7 +244,7 @@
 	return len(f.stored)
 }
 
-// held returns the nodes at which the request must not run.
+// held returns the number of nodes at which the request must not run.
 func (f *fleet) held(key quarantiner.Key) int {
 	count := 0
 
@@ -279,7 +279,8 @@
 	})
 }
 
-// Guards against: a long answer that goes on elsewhere after each crash is taken for the cause of them.
+// Guards against quarantining a long stream that resumes on another upstream after each crash and so runs in several of
+// them.
 func TestRequestBesideTheCulpritIsNotBlamed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 3)
@@ -288,7 +289,7 @@
 		f.crash("a", key("culprit"), key("long"))
 		f.crash("b", key("long"), key("culprit"))
 		f.crash("c", key("culprit"), key("long"))
-		// Nothing parts them yet.
+		// No crash tells the two apart yet.
 		assert.Equal(t, f.held(key("culprit")), 0)
 		assert.Equal(t, f.held(key("long")), 0)
 
@@ -302,8 +303,8 @@
 	})
 }
 
-// Guards against: where two culprits crash upstreams in turn, a long answer that met three of the crashes is blamed, since
-// neither of them ran in all of these.
+// Guards against quarantining a long stream that ran in three crashes when two culprits crash upstreams in turn: neither
+// culprit ran in all three.
 func TestRequestBesideTwoCulpritsIsNotBlamed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 3)
@@ -322,8 +323,8 @@
 	})
 }
 
-// Guards against: of two requests that ran in the same crashes up to the last, the one that was being answered is blamed, and
-// the other goes on.
+// Guards against quarantining the request that was being answered, instead of the one that was waiting, if both ran in
+// the same crashes up to the last.
 func TestOfTwoThatNothingPartsTheOneThatWaitedIsBlamed(t *testing.T) {
 	for i := range 8 {
 		synctest.Test(t, func(t *testing.T) {
@@ -342,7 +343,7 @@
 	}
 }
 
-// Guards against: a request that crashes upstreams in the middle of its answers goes on for ever.
+// Guards against never quarantining a request that crashes upstreams in the middle of its answers.
 func TestCulpritThatIsBeingAnsweredIsQuarantinedLater(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 3)
@@ -356,7 +357,7 @@
 	})
 }
 
-// Guards against: a request that many callers send, and that runs wherever an upstream crashes, is taken for the cause.
+// Guards against quarantining a popular request that runs wherever an upstream crashes but is also answered.
 func TestRequestThatIsAnsweredElsewhereIsNotBlamed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 4)
@@ -372,7 +373,7 @@
 	})
 }
 
-// Guards against: a popular request that ran at each crash too shields the culprit.
+// Guards against failing to quarantine the culprit because a popular request ran in the same crashes.
 func TestPopularRequestDoesNotShieldTheCulprit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 4)
@@ -389,7 +390,7 @@
 	})
 }
 
-// Guards against: upstreams that break off single requests, or that leave by plan, count as crashed.
+// Guards against counting upstreams as crashed that break off single requests or are drained.
 func TestUpstreamsThatLiveOnOrLeaveDoNotCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 2)
@@ -420,7 +421,7 @@
 	})
 }
 
-// Guards against: an upstream that broke off an answer and lived on isn't looked at when it crashes soon after.
+// Guards against not checking an upstream again that broke off an answer, survived, and crashes soon after.
 func TestCrashSoonAfterABrokenAnswerCounts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 2)
@@ -438,14 +439,14 @@
 	})
 }
 
-// Guards against: an upstream that is started again at once counts as one that lives on.
+// Guards against treating an upstream that restarts at once as one that did not crash.
 func TestUpstreamThatReturnsAtOnceCountsAsCrashed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 2)
 		f.add("a", "b", "c")
 
 		for _, upstream := range []string{"a", "b", "c"} {
-			// Its address takes connections throughout.
+			// Its address accepts connections throughout.
 			f.nodes["n0"].Broke(key("culprit"), upstream, upstream, false)
 			time.Sleep(3 * time.Second)
 			f.mu.Lock()
@@ -459,7 +460,7 @@
 	})
 }
 
-// Guards against: where an upstream keeps its id over its starts, its second crash counts as its first.
+// Guards against counting the second crash of an upstream that keeps its id over restarts as its first.
 func TestCrashesOfOneUpstreamCountEachTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 3)
@@ -474,11 +475,11 @@
 	})
 }
 
-// Guards against: a node that starts while the store is away lets the request run.
+// Guards against a node that starts while the store is unavailable and lets the quarantined request run.
 func TestNodeThatStartsWhileTheStoreIsAwayLearnsOfIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 3)
-		f.away = true
+		f.storeDown = true
 		f.crashThree()
 
 		f.start("late")
@@ -486,14 +487,14 @@
 		assert.Equal(t, f.held(key("culprit")), 4)
 
 		f.mu.Lock()
-		f.away = false
+		f.storeDown = false
 		f.mu.Unlock()
 		time.Sleep(2 * time.Second)
 		assert.Equal(t, f.recorded(), 1)
 	})
 }
 
-// Guards against: all nodes are lost, and those that start know nothing of it.
+// Guards against losing quarantines when all nodes are replaced by new ones.
 func TestQuarantineOutlastsAllNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 3)
@@ -508,12 +509,12 @@
 	})
 }
 
-// Guards against: the nodes that count the crashes are lost, and the count with them.
+// Guards against losing the count of crashes with the coordinators that hold it.
 func TestCountOutlastsTheJudges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 6)
 		f.add("a", "b", "c")
-		// n0 and n1 saw all of it.
+		// All crashes are seen by n0 and n1.
 		broke := func(upstream string) {
 			f.mu.Lock()
 			f.alive[upstream] = false
@@ -553,7 +554,7 @@
 	})
 }
 
-// Guards against: operators can't lift a quarantine.
+// Guards against a quarantine that operators cannot lift by removing it from the store.
 func TestQuarantineThatTheStoreListsNoMoreIsLifted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 3)
@@ -570,7 +571,7 @@
 	})
 }
 
-// Guards against: crashes without end fill the memory of nodes.
+// Guards against unbounded memory use when crashes continue.
 func TestMemoryOfCrashesIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 2)
@@ -589,7 +590,7 @@
 			assert.Assert(t, counters.DetectorEntries <= 8192 && counters.TrackedRequests <= 2048, "%+v", counters)
 		}
 
-		// The newest still count.
+		// The latest crashes still count.
 		f.crashThree()
 		assert.Equal(t, f.held(key("culprit")), 2)
 	})
--- a/internal/quarantiner/refusal.go
+++ b/internal/quarantiner/refusal.go
@@ -6,7 +6,7 @@
 	"quincepath.example/quincepath/pkg/classifier"
 )
 
-// Refusal is the final result of a request that is in quarantine for so much longer and has not run.
+// Refusal returns the error for a request that has not run and stays in quarantine for the given time.
 func Refusal(left time.Duration) *classifier.Error {
 	return classifier.New(classifier.RequestQuarantined, "upstreams crashed each time that they ran this request").After(left)
 }
--- a/internal/quarantiner/table.go
+++ b/internal/quarantiner/table.go
@@ -8,24 +8,25 @@
 )
 
 const (
-	// quarantineTime is how long a request is kept from running.
-	quarantineTime = time.Hour
-	// mostQuarantined bounds the requests in quarantine; the oldest leave it first.
-	mostQuarantined = 1024
+	// quarantineDuration is how long a request stays in quarantine.
+	quarantineDuration = time.Hour
+	// maxQuarantined bounds the requests in quarantine; beyond it, the oldest are dropped.
+	maxQuarantined = 1024
 )
 
 // Quarantine is one request that must not run.
 type Quarantine struct {
 	Key Key `json:"key"`
-	// Since is the Unix millisecond at which it was quarantined.
+	// Since is when it was quarantined, in Unix milliseconds.
 	Since int64 `json:"since"`
-	// Crashes is the number of upstreams that had crashed under it.
+	// Crashes is the number of upstream crashes in which it had run.
 	Crashes int `json:"crashes"`
 }
 
-// left is how much longer it holds; not above 0 once it is over. The clock of the node that began it may be ahead.
-func (q *Quarantine) left(now time.Time) time.Duration {
-	return min(quarantineTime-now.Sub(time.UnixMilli(q.Since)), quarantineTime)
+// remaining returns the time until the quarantine expires; it is not above 0 once it has. The result is capped because
+// the clock of the node that started the quarantine may be ahead.
+func (q *Quarantine) remaining(now time.Time) time.Duration {
+	return min(quarantineDuration-now.Sub(time.UnixMilli(q.Since)), quarantineDuration)
 }
 
 // table holds the requests in quarantine. It is safe for concurrent use.
@@ -36,7 +37,7 @@
 
 type entry struct {
 	Quarantine
-	// stored says that the platform's store lists it.
+	// stored is true if the platform's store lists it.
 	stored bool
 }
 
@@ -44,34 +45,34 @@
 	return &table{entries: make(map[Key]entry)}
 }
 
-// find returns how much longer a request is in quarantine.
+// find returns the remaining time of the quarantine of a request, and false if it is in none.
 func (t *table) find(now time.Time, key Key) (time.Duration, bool) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 
 	found, ok := t.entries[key]
-	left := found.left(now)
+	remaining := found.remaining(now)
 
-	return left, ok && left > 0
+	return remaining, ok && remaining > 0
 }
 
-// add puts a request in quarantine and reports whether it is new there.
+// add quarantines a request and reports whether the entry is new.
 func (t *table) add(now time.Time, added Quarantine) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 
-	if known, ok := t.entries[added.Key]; ok && known.Since >= added.Since || added.left(now) <= 0 {
+	if known, ok := t.entries[added.Key]; ok && known.Since >= added.Since || added.remaining(now) <= 0 {
 		return false
 	}
 
 	t.entries[added.Key] = entry{Quarantine: added}
-	t.bound()
+	t.dropExcess()
 
 	return true
 }
 
-// replace takes in what the store lists and returns what is new. One that the store listed and lists no more is over:
-// operators may lift it.
+// replace takes over the entries that the store lists and returns the new ones. An entry that the store listed before
+// and no longer lists is removed, so that operators can lift a quarantine.
 func (t *table) replace(listed []Quarantine) []Quarantine {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -95,39 +96,39 @@
 		}
 	}
 
-	t.bound()
+	t.dropExcess()
 
 	return added
 }
 
-// bound drops the oldest beyond the limit; t.mu is held.
-func (t *table) bound() {
-	for len(t.entries) > mostQuarantined {
+// dropExcess drops the oldest entries beyond maxQuarantined; t.mu is held.
+func (t *table) dropExcess() {
+	for len(t.entries) > maxQuarantined {
 		oldest := slices.MinFunc(slices.Collect(maps.Values(t.entries)), func(a, b entry) int { return int(a.Since - b.Since) })
 		delete(t.entries, oldest.Key)
 	}
 }
 
-// unstored returns those that the store doesn't list.
+// unstored returns the entries that the store does not list.
 func (t *table) unstored(now time.Time) []Quarantine {
-	return t.choose(func(e entry) bool { return !e.stored && e.left(now) > 0 })
+	return t.filter(func(e entry) bool { return !e.stored && e.remaining(now) > 0 })
 }
 
-// over returns those that the store still lists although their time is over, and forgets all others whose time is over.
-func (t *table) over(now time.Time) []Key {
+// expired returns the expired entries that the store still lists, and drops all other expired ones.
+func (t *table) expired(now time.Time) []Key {
 	t.mu.Lock()
-	maps.DeleteFunc(t.entries, func(_ Key, e entry) bool { return !e.stored && e.left(now) <= 0 })
+	maps.DeleteFunc(t.entries, func(_ Key, e entry) bool { return !e.stored && e.remaining(now) <= 0 })
 	t.mu.Unlock()
 
 	var keys []Key
-	for _, q := range t.choose(func(e entry) bool { return e.left(now) <= 0 }) {
+	for _, q := range t.filter(func(e entry) bool { return e.remaining(now) <= 0 }) {
 		keys = append(keys, q.Key)
 	}
 
 	return keys
 }
 
-func (t *table) choose(matches func(entry) bool) []Quarantine {
+func (t *table) filter(matches func(entry) bool) []Quarantine {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 
