--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -239,7 +239,7 @@
 			return failure
 		}
 
-		// The slot may have been granted before the upstream sent its Retry-After.
+		// The slot was granted before the upstream sent its Retry-After.
 		if left := d.retryAfters.remaining(time.Now(), slot.Upstream.Address); left > 0 {
 			d.slotter.Release(slot, slotRequest, Outcome{Result: ResultSuperseded})
 
