--- a/internal/prober/codec.go
+++ b/internal/prober/codec.go
@@ -15,43 +15,43 @@
 	macBytes = 16
 )
 
-// Reasons why a datagram is dropped.
+// Errors returned for datagrams that are dropped.
 var (
 	// ErrTooLarge means that a datagram exceeds MaxDatagram.
 	ErrTooLarge = errors.New("datagram too large")
-	// ErrNotAuthentic means that no known credential made the datagram for this node.
+	// ErrNotAuthentic means that the MAC of a datagram matches no known credential for this receiver.
 	ErrNotAuthentic = errors.New("datagram not authentic")
-	// ErrMalformed means that an authentic datagram has no readable packet.
+	// ErrMalformed means that a datagram is too short for a MAC, or that its authenticated packet can't be decoded.
 	ErrMalformed = errors.New("datagram malformed")
 )
 
-// Codec writes and reads datagrams: 16 bytes of HMAC-SHA256, then the packet in JSON.
-// The receiver's name is part of what is authenticated, so that a datagram counts for nobody else.
+// Codec encodes and decodes datagrams: 16 bytes of HMAC-SHA256, then the packet in JSON.
+// The MAC covers the receiver's name, so that no other node accepts the datagram.
 type Codec struct {
-	// keys are the peers' credentials; the first one signs, all verify.
+	// keys are the shared credentials of the peers; the first one signs, all verify.
 	keys [][]byte
 }
 
-// NewCodec returns a codec. More than one credential lets operators replace one without a pause.
+// NewCodec returns a codec. Additional credentials allow rotation without downtime.
 func NewCodec(credentials ...string) (*Codec, error) {
 	c := &Codec{}
 
 	for _, v := range credentials {
 		if v == "" {
-			return nil, errors.New("the peers' credential is empty")
+			return nil, errors.New("a peer credential is empty")
 		}
 
 		c.keys = append(c.keys, []byte(v))
 	}
 
 	if len(c.keys) == 0 {
-		return nil, errors.New("the peers' credential is missing")
+		return nil, errors.New("no peer credential is given")
 	}
 
 	return c, nil
 }
 
-// Encode returns the datagram for the receiver. News that does not fit is left out from the end.
+// Encode returns the datagram for a receiver. Updates that do not fit are dropped from the end.
 func (c *Codec) Encode(to string, packet Packet) ([]byte, error) {
 	for {
 		body, err := json.Marshal(packet)
@@ -71,7 +71,7 @@
 	}
 }
 
-// Decode returns the packet of a datagram for the receiver.
+// Decode authenticates a datagram addressed to the receiver and returns its packet.
 func (c *Codec) Decode(to string, datagram []byte) (Packet, error) {
 	if len(datagram) > MaxDatagram {
 		return Packet{}, ErrTooLarge
@@ -106,7 +106,7 @@
 
 func sign(key []byte, to string, body []byte) []byte {
 	mac := hmac.New(sha256.New, key)
-	// A zero byte parts the name from the body, so that no other pair gives the same input.
+	// A zero byte separates the name from the body, so that no other pair gives the same input.
 	mac.Write([]byte(to))
 	mac.Write([]byte{0})
 	mac.Write(body)
--- a/internal/prober/codec_test.go
+++ b/internal/prober/codec_test.go
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestCodec_LeavesOutNewsThatDoesNotFit(t *testing.T) {
+func TestCodec_DropsUpdatesThatDoNotFit(t *testing.T) {
 	packet := prober.Packet{Kind: prober.KindSyncReply, From: "entry-002"}
 	for range 100 {
 		packet.Updates = append(packet.Updates, prober.Update{Node: "a-rather-long-name-of-a-node", State: prober.Live, Incarnation: processStart})
@@ -64,9 +64,8 @@
 	assert.Assert(t, len(got.Updates) > 5 && len(got.Updates) < 100)
 }
 
-// Symptom: a node that came back is held for dead by news of its earlier state.
-// Sequence: someone on the network records a datagram with that news and sends it again and again.
-// Cause: a valid authentication says who wrote a datagram, not that it is new.
+// A valid MAC shows who wrote a datagram, not that it is new. Without replay protection, a recorded
+// datagram that is sent repeatedly would make a node that returned count as dead again.
 func TestProber_ReplayIsDropped(t *testing.T) {
 	now := time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)
 	p := prober.New(prober.Options{Self: prober.VM{Name: "a"}, Incarnation: 10})
@@ -77,7 +76,7 @@
 	assert.Equal(t, len(p.Receive(now, probe)), 1)
 	assert.Equal(t, len(p.Receive(now, probe)), 0)
 
-	// Datagrams may overtake each other, each still counts once.
+	// Reordered datagrams are accepted, each one once.
 	for _, sequence := range []uint64{5, 3, 4, 2, 200, 150} {
 		probe.Sequence = sequence
 		assert.Equal(t, len(p.Receive(now, probe)), 1, "sequence %d", sequence)
@@ -85,10 +84,10 @@
 	}
 
 	probe.Sequence = 6
-	assert.Equal(t, len(p.Receive(now, probe)), 0, "too far behind to tell")
+	assert.Equal(t, len(p.Receive(now, probe)), 0, "outside the replay window")
 	assert.Equal(t, p.Counters().ReplaysDropped, int64(8))
 
-	// A new run starts its numbers again; the earlier run's are then outdated.
+	// A restarted sender counts from 1 again; datagrams from before its restart are then outdated.
 	next := prober.Packet{Kind: prober.KindProbe, From: "b", Incarnation: 9, Sequence: 1, ProbeNumber: 3}
 	assert.Equal(t, len(p.Receive(now, next)), 1)
 
@@ -104,13 +103,13 @@
 	w.run(20 * time.Second)
 
 	w.nodes[3].digest = prober.Digest{Revision: 41, Load: 70}
-	w.post(w.nodes[3], w.nodes[3].prober.Announce(w.now, 4))
+	w.send(w.nodes[3], w.nodes[3].prober.Announce(w.now, 4))
 	w.run(10 * time.Millisecond)
 
 	reached := 0
 
 	for _, n := range w.nodes {
-		if n.heard["entry-003"].Revision == 41 {
+		if n.digests["entry-003"].Revision == 41 {
 			reached++
 		}
 	}
@@ -126,6 +125,6 @@
 		revision, ok := n.prober.PeerRevision("entry-003")
 		assert.Assert(t, ok)
 		assert.Equal(t, revision, int64(41))
-		assert.Equal(t, n.heard["entry-003"].Load, 70)
+		assert.Equal(t, n.digests["entry-003"].Load, 70)
 	}
 }
--- a/internal/prober/failures_test.go
+++ b/internal/prober/failures_test.go
@@ -10,28 +10,27 @@
 	"quincepath.example/quincepath/internal/prober"
 )
 
-// settled returns a network whose nodes all know each other and have little news left.
-func settled(t testing.TB, size, domains int, seed uint64) *network {
+// newConvergedNetwork returns a network whose nodes all see each other live and have few updates left to send.
+func newConvergedNetwork(t testing.TB, size, domains int, seed uint64) *network {
 	t.Helper()
 
 	w := newNetwork(t, size, domains, seed)
 	w.startAll()
 	w.run(30 * time.Second)
-	assert.Assert(t, w.complete())
+	assert.Assert(t, w.converged())
 
 	return w
 }
 
-// Symptom: after one node stood still for 10 s, healthy nodes drop out of the answers to callers.
-// Sequence: SIGSTOP; answers to its probes lie unread in the socket; SIGCONT; its timeouts are overdue.
-// Cause: a node that blames others for its own pause.
+// A node that is paused (SIGSTOP, SIGCONT) has expired probe timeouts while the acks are unread in its socket.
+// It must not blame its peers for its own pause: healthy nodes would be missing from the answers to callers.
 func TestProber_FrozenNodeDoubtsItself(t *testing.T) {
 	t.Parallel()
 
 	for _, size := range []int{3, 9, 30, 100} {
 		for _, pause := range []time.Duration{1500 * time.Millisecond, 10 * time.Second, time.Minute} {
 			t.Run(fmt.Sprintf("%d_%s", size, pause), func(t *testing.T) {
-				w := settled(t, size, 3, uint64(size))
+				w := newConvergedNetwork(t, size, 3, uint64(size))
 				frozen := w.nodes[1]
 				before := frozen.prober.Counters()
 				incarnation := frozen.prober.Self().Incarnation
@@ -39,18 +38,18 @@
 
 				frozen.frozen = true
 				w.run(pause)
-				w.thaw(frozen)
+				w.resume(frozen)
 
-				back := w.runUntil(time.Minute, w.complete)
+				back := w.runUntil(time.Minute, w.converged)
 				w.run(10 * time.Second)
 				after := frozen.prober.Counters()
-				t.Logf("all seen again after %s", back)
+				t.Logf("converged again after %s", back)
 
 				assert.Equal(t, after.Freezes-before.Freezes, int64(1))
-				assert.Equal(t, after.Deaths, before.Deaths, "the frozen node held a healthy one for dead")
+				assert.Equal(t, after.Deaths, before.Deaths, "the frozen node declared a healthy one dead")
 				assert.Assert(t, frozen.prober.Self().Incarnation > incarnation)
 				assert.Assert(t, back < 10*time.Second)
-				assert.Assert(t, w.complete())
+				assert.Assert(t, w.converged())
 
 				for _, n := range w.nodes {
 					for _, m := range n.prober.Members() {
@@ -58,41 +57,39 @@
 					}
 				}
 
-				// Only the frozen node itself may have been held for dead, once by each other node.
+				// Only the frozen node itself may have been declared dead, once by each other node.
 				assert.Assert(t, w.counters().Deaths-deaths <= int64(size-1))
 			})
 		}
 	}
 }
 
-// Symptom: two healthy nodes hold each other for dead and one vanishes from all answers.
-// Sequence: datagrams from A to B are lost for good; those from B to A arrive; all others work.
-// Cause: a verdict by one path alone.
+// Datagrams from A to B are lost permanently, while those from B to A and all others arrive. A decision based on
+// a single path would make healthy nodes dead and remove one from all answers.
 func TestProber_OneWayCutBetweenTwo(t *testing.T) {
 	for _, size := range []int{3, 9, 30} {
-		w := settled(t, size, 3, uint64(size))
+		w := newConvergedNetwork(t, size, 3, uint64(size))
 		before := w.counters()
 		a, b := w.nodes[0], w.nodes[1]
 		w.cut = func(from, to *node) bool { return from == a && to == b }
 		w.run(2 * time.Minute)
 
 		assert.Equal(t, w.counters().Deaths, before.Deaths)
-		assert.Assert(t, w.state(a, b).DirectFailures > 0, "the direct path must show as broken")
-		assert.Assert(t, w.complete())
+		assert.Assert(t, w.state(a, b).DirectFailures > 0, "the failures of the direct path must be counted")
+		assert.Assert(t, w.converged())
 	}
 }
 
-// Symptom: a node that hears nothing spreads doubts about all others.
-// Sequence: everything to X is lost while X can still send; X's probes all fail.
-// Cause: the doubter's own link is the broken one. X must leave the others' lists, they must stay in each other's.
+// Everything to X is lost while X can still send, so that all probes of X fail. X must not spread suspicions of
+// the others, because its own link is down. The others must declare X dead and keep each other live.
 func TestProber_NodeThatHearsNothing(t *testing.T) {
 	for _, size := range []int{3, 9, 30} {
-		w := settled(t, size, 3, uint64(size))
+		w := newConvergedNetwork(t, size, 3, uint64(size))
 		x := w.nodes[2]
 		w.cut = func(_, to *node) bool { return to == x }
-		gone := w.runUntil(time.Minute, func() bool { return w.agreed(x, prober.Dead) })
+		gone := w.runUntil(time.Minute, func() bool { return w.allSee(x, prober.Dead) })
 		w.run(time.Minute)
-		t.Logf("%d nodes: out after %s", size, gone)
+		t.Logf("%d nodes: dead after %s", size, gone)
 
 		assert.Assert(t, gone < 10*time.Second)
 		assert.Assert(t, x.prober.Isolated(w.now))
@@ -103,50 +100,48 @@
 			}
 
 			assert.Equal(t, len(n.prober.Live(w.now)), size-1)
-			assert.Assert(t, x.heldDead(n) == false, "an isolated node must hold nobody for dead")
+			assert.Assert(t, x.holdsDead(n) == false, "an isolated node must declare no node dead")
 		}
 
 		w.cut = nil
-		back := w.runUntil(time.Minute, w.complete)
-		t.Logf("%d nodes: back after %s", size, back)
+		back := w.runUntil(time.Minute, w.converged)
+		t.Logf("%d nodes: live again after %s", size, back)
 		assert.Assert(t, back < 20*time.Second)
 	}
 }
 
-func (n *node) heldDead(other *node) bool {
+func (n *node) holdsDead(other *node) bool {
 	m, _ := n.prober.Member(other.vm.Name)
 
 	return m.State == prober.Dead
 }
 
-// Symptom: a node whose datagrams are lost stays in the answers.
-// Sequence: everything from X is lost while X still hears; X answers nothing.
-// Cause: hearing taken for being heard.
+// Everything from X is lost while X still receives. That X receives packets doesn't show that its own arrive: it must be
+// declared dead by the others, and must not declare them dead.
 func TestProber_NodeThatIsNotHeard(t *testing.T) {
 	for _, size := range []int{3, 9, 30} {
-		w := settled(t, size, 3, uint64(size))
+		w := newConvergedNetwork(t, size, 3, uint64(size))
 		x := w.nodes[2]
 		w.cut = func(from, _ *node) bool { return from == x }
-		gone := w.runUntil(time.Minute, func() bool { return w.agreed(x, prober.Dead) })
+		gone := w.runUntil(time.Minute, func() bool { return w.allSee(x, prober.Dead) })
 		w.run(30 * time.Second)
 		assert.Assert(t, gone < 10*time.Second)
 
 		for _, n := range w.nodes {
 			if n != x {
-				assert.Assert(t, !x.heldDead(n))
+				assert.Assert(t, !x.holdsDead(n))
 			}
 		}
 
 		w.cut = nil
-		assert.Assert(t, w.runUntil(time.Minute, w.complete) < 20*time.Second)
+		assert.Assert(t, w.runUntil(time.Minute, w.converged) < 20*time.Second)
 	}
 }
 
-// Symptom: callers fail on a node that comes and goes, time after time.
-// Sequence: a node is cut off for 10 s and back for 15 s, six times; each return puts it into the answers at once.
-// Cause: no memory of earlier returns.
-func TestProber_FlappingNodeIsHeld(t *testing.T) {
-	w := settled(t, 9, 3, 9)
+// A node is cut off for 10 s and back for 15 s, six times. If earlier returns were not remembered, each return would
+// offer it to callers at once, and their requests would fail.
+func TestProber_FlappingNodeIsSuppressed(t *testing.T) {
+	w := newConvergedNetwork(t, 9, 3, 9)
 	x := w.nodes[4]
 	watcher := w.nodes[0]
 
@@ -161,10 +156,10 @@
 		var counted time.Duration
 
 		for range 150 {
-			w.run(tickEvery)
+			w.run(tickPeriod)
 
 			if contains(watcher.prober.Live(w.now), x) {
-				counted += tickEvery
+				counted += tickPeriod
 			}
 		}
 
@@ -172,11 +167,11 @@
 	}
 
 	t.Logf("time in Live in each 15 s of connection: %v", offered)
-	assert.Assert(t, offered[0] > 10*time.Second, "the first return is free")
-	assert.Assert(t, offered[4] == 0 && offered[5] == 0, "a flapping node must be held back")
+	assert.Assert(t, offered[0] > 10*time.Second, "the first return must not be suppressed")
+	assert.Assert(t, offered[4] == 0 && offered[5] == 0, "a flapping node must be suppressed")
 
 	back := w.runUntil(5*time.Minute, func() bool { return contains(watcher.prober.Live(w.now), x) })
-	t.Logf("counted again %s after the last return", 15*time.Second+back)
+	t.Logf("in Live again %s after the last return", 15*time.Second+back)
 	assert.Assert(t, back < 2*time.Minute)
 }
 
@@ -190,27 +185,27 @@
 	return false
 }
 
-// Symptom: during a replacement of all nodes one after another, restarted nodes stay out or others drop out.
-// Sequence: each node announces its leaving, stops, and starts 3 s later with a new incarnation; then the next.
-// Cause: leaving marks, death and replay numbers of the earlier run held against the new one.
+// One node after another announces that it leaves, stops, and starts 3 s later with a new incarnation. The leaving
+// mark, the Dead state and the replay filter of its earlier process must not apply to the new one, nor may other
+// nodes drop out.
 func TestProber_RollingRestart(t *testing.T) {
 	for _, size := range []int{3, 9, 30} {
-		w := settled(t, size, 3, uint64(size))
+		w := newConvergedNetwork(t, size, 3, uint64(size))
 		list := w.list()
 
 		var slowest time.Duration
 
 		for i, n := range w.nodes {
-			w.post(n, n.prober.Leave(w.now))
+			w.send(n, n.prober.Leave(w.now))
 			w.run(100 * time.Millisecond)
-			assert.Assert(t, markedLeaving(w, n), "all must see the leaving mark at once")
+			assert.Assert(t, markedLeaving(w, n), "all nodes must see the leaving mark immediately")
 			w.run(2 * time.Second)
 
 			n.down = true
 			w.run(3 * time.Second)
 			w.startNode(n, processStart+int64(i+1)*60_000, list)
 
-			slowest = max(slowest, w.runUntil(time.Minute, func() bool { return w.complete() && !markedLeaving(w, n) }))
+			slowest = max(slowest, w.runUntil(time.Minute, func() bool { return w.converged() && !markedLeaving(w, n) }))
 		}
 
 		t.Logf("%d nodes: slowest return %s", size, slowest)
@@ -219,7 +214,7 @@
 }
 
 func markedLeaving(w *network, of *node) bool {
-	for _, n := range w.up() {
+	for _, n := range w.running() {
 		if n != of && !w.state(n, of).Leaving {
 			return false
 		}
@@ -228,23 +223,21 @@
 	return true
 }
 
-// Symptom: a node restarted on a VM whose clock is behind never returns to the lists.
-// Sequence: it stops without notice and starts with a lower incarnation; its packets look outdated.
-// Cause: incarnations taken from a clock that can go back.
+// Incarnations come from a clock that can go backwards. A node that crashes and restarts with a lower incarnation
+// sends packets that look outdated; it must still become live again.
 func TestProber_RestartWithEarlierClock(t *testing.T) {
-	w := settled(t, 9, 3, 5)
+	w := newConvergedNetwork(t, 9, 3, 5)
 	n := w.nodes[3]
 	n.down = true
 	w.run(20 * time.Second)
 	w.startNode(n, processStart-86_400_000, w.list())
-	back := w.runUntil(time.Minute, w.complete)
-	t.Logf("back after %s", back)
+	back := w.runUntil(time.Minute, w.converged)
+	t.Logf("live again after %s", back)
 	assert.Assert(t, back < 15*time.Second)
 }
 
-// Symptom: when a failure domain goes, healthy nodes are lost from the lists too, or the dead stay for long.
-// Sequence: a third (or a twelfth) of all nodes stop at the same moment.
-// Cause: too much news for the packets, and indirect probes through nodes that are gone as well.
+// A third or a twelfth of all nodes stop at the same moment. That causes more updates than fit into the packets, and
+// indirect probes through nodes that are gone too. Healthy nodes must stay live, and dead ones be detected in time.
 func TestProber_FailureDomainGone(t *testing.T) {
 	t.Parallel()
 
@@ -252,7 +245,7 @@
 		t.Run(fmt.Sprintf("%d_of_%d", tt.size, tt.domains), func(t *testing.T) {
 			t.Parallel()
 
-			w := settled(t, tt.size, tt.domains, uint64(tt.size))
+			w := newConvergedNetwork(t, tt.size, tt.domains, uint64(tt.size))
 			for _, n := range w.nodes {
 				if n.vm.FailureDomain == "domain-01" {
 					n.down = true
@@ -260,14 +253,14 @@
 			}
 
 			refutations := w.counters().Refutations
-			gone := w.runUntil(time.Minute, w.complete)
+			gone := w.runUntil(time.Minute, w.converged)
 			w.run(30 * time.Second)
-			t.Logf("all gone after %s; false suspicions refuted: %d", gone, w.counters().Refutations-refutations)
+			t.Logf("all dead after %s; false suspicions refuted: %d", gone, w.counters().Refutations-refutations)
 			assert.Assert(t, gone < 20*time.Second)
 
-			for _, n := range w.up() {
-				for _, other := range w.up() {
-					assert.Assert(t, !n.heldDead(other))
+			for _, n := range w.running() {
+				for _, other := range w.running() {
+					assert.Assert(t, !n.holdsDead(other))
 				}
 			}
 
@@ -278,18 +271,17 @@
 				}
 			}
 
-			back := w.runUntil(2*time.Minute, w.complete)
-			t.Logf("all back after %s", back)
+			back := w.runUntil(2*time.Minute, w.converged)
+			t.Logf("all live again after %s", back)
 			assert.Assert(t, back < 30*time.Second)
 		})
 	}
 }
 
-// Symptom: after two regions lost each other for an hour they stay apart.
-// Sequence: no datagram passes between two halves; each holds the other for dead; the cut ends.
-// Cause: dead members never probed again.
+// Two halves of the nodes, such as two regions, are partitioned for so long that each declares the other dead. After the
+// partition they find each other again only if dead members are still probed.
 func TestProber_HalvesMeetAgain(t *testing.T) {
-	w := settled(t, 30, 2, 3)
+	w := newConvergedNetwork(t, 30, 2, 3)
 	w.cut = func(from, to *node) bool { return from.vm.FailureDomain != to.vm.FailureDomain }
 	w.run(10 * time.Minute)
 
@@ -298,14 +290,13 @@
 	}
 
 	w.cut = nil
-	back := w.runUntil(2*time.Minute, w.complete)
-	t.Logf("met again after %s", back)
+	back := w.runUntil(2*time.Minute, w.converged)
+	t.Logf("converged again after %s", back)
 	assert.Assert(t, back < 30*time.Second)
 }
 
-// Symptom: with a stale list, dead VMs are offered to callers, and new ones are not.
-// Sequence: the platform's list stands still for 10 minutes; it names three VMs that are gone and lacks one that started.
-// Cause: the list taken for the truth.
+// The platform's list is out of date for 10 minutes: it names three VMs that are gone and lacks one that started.
+// Dead VMs must not be offered to callers, and the new one must be.
 func TestProber_StaleList(t *testing.T) {
 	w := newNetwork(t, 9, 3, 4)
 	stale := w.list()[:8]
@@ -323,7 +314,7 @@
 	for _, n := range w.nodes[3:] {
 		live := n.prober.Live(w.now)
 		assert.Equal(t, len(live), 6, "node %s", n.vm.Name)
-		assert.Assert(t, contains(live, w.nodes[8]), "the unlisted node counts")
+		assert.Assert(t, contains(live, w.nodes[8]), "the unlisted node must be live")
 	}
 
 	w.run(10 * time.Minute)
@@ -332,7 +323,7 @@
 		assert.Equal(t, len(n.prober.Live(w.now)), 6)
 	}
 
-	// The unlisted node dies and is forgotten after DeadKeep.
+	// The unlisted node dies and is removed after DeadRetention.
 	w.nodes[8].down = true
 	w.run(2 * time.Minute)
 
@@ -340,28 +331,26 @@
 	assert.Assert(t, !known)
 }
 
-// Symptom: a node goes on getting new callers after its planned stop began.
-// Sequence: SIGTERM; the mark travels only by the slow probes, or a datagram is lost.
-// Cause: no announcement at once, and none repeated.
+// A node that got SIGTERM must not get new callers. Its leaving mark must be sent to all nodes at once instead of only
+// with the next probes, and again in case a datagram is lost.
 func TestProber_LeaveIsKnownAtOnce(t *testing.T) {
 	t.Parallel()
 
 	for _, size := range []int{9, 100, 370} {
-		w := settled(t, size, 12, uint64(size))
+		w := newConvergedNetwork(t, size, 12, uint64(size))
 		n := w.nodes[0]
 		w.loss = 0.05
-		w.post(n, n.prober.Leave(w.now))
+		w.send(n, n.prober.Leave(w.now))
 		took := w.runUntil(time.Minute, func() bool { return markedLeaving(w, n) })
 		t.Logf("%d nodes at 5%% loss: known to all after %s", size, took)
 		assert.Assert(t, took < 5*time.Second)
 	}
 }
 
-// Symptom: the last node of a site holds all others for dead though its own link is cut, or offers them for ever.
-// Sequence: two of three nodes stop; nobody is left to confirm.
-// Cause: one node can't tell its own cut from the death of all others.
-func TestProber_LastNodeStanding(t *testing.T) {
-	w := settled(t, 3, 3, 8)
+// Two of three nodes stop, so that no node is left to confirm a suspicion. The remaining node can't distinguish the
+// loss of its own link from the death of all others: it must neither declare them dead nor offer them indefinitely.
+func TestProber_LastRunningNode(t *testing.T) {
+	w := newConvergedNetwork(t, 3, 3, 8)
 	w.nodes[1].down = true
 	w.nodes[2].down = true
 	w.run(30 * time.Second)
@@ -371,10 +360,10 @@
 	assert.Assert(t, w.nodes[0].prober.Isolated(w.now))
 }
 
-// Symptom: a booking whose node was killed is told "in progress" for ever, and dead nodes stay in the answers to callers.
-// Sequence: a node starts late and refutes the suspicion of the first, which makes it patient; the first is killed;
-// the late one suspects it, but before the suspicion has run out it is isolated, for nobody else answers.
-// Cause: an isolated node never ended a suspicion that had begun before, so that the suspect counted as live.
+// An isolated node never ended a suspicion that had begun before its isolation, so that the suspect counted as live: a
+// booking whose node was killed was reported as "in progress" indefinitely, and dead nodes were offered to callers.
+// Here a node starts late and refutes a suspicion by the first, which lengthens its timeouts. The first is then killed,
+// and the late one is isolated before its suspicion of the first expires.
 func TestProber_SuspectOfIsolatedNodeIsNotCountedForEver(t *testing.T) {
 	for seed := range uint64(20) {
 		w := newNetwork(t, 2, 2, seed)
@@ -390,27 +379,26 @@
 	}
 }
 
-// Symptom: the only node that is left offers callers nodes that are gone, or holds pools and shards for them.
-// Sequence: all nodes but one are killed at the same moment, in fleets of several sizes; they come back later.
-// Cause: as above; here some suspicions begin before the survivor is isolated and some after.
+// All nodes except one are killed at the same moment, and return later. The survivor must not offer the dead nodes to
+// callers, nor keep pools and shards for them. Some of its suspicions begin before it is isolated, and some after.
 func TestProber_LoneSurvivorCountsOnItself(t *testing.T) {
 	for _, size := range []int{2, 3, 9, 30} {
 		for seed := range uint64(5) {
-			w := settled(t, size, 3, seed)
+			w := newConvergedNetwork(t, size, 3, seed)
 			for _, n := range w.nodes[1:] {
 				n.down = true
 			}
 
 			gone := w.runUntil(time.Minute, func() bool { return len(w.nodes[0].prober.Live(w.now)) == 1 })
 			assert.Equal(t, len(w.nodes[0].prober.Live(w.now)), 1, "size %d, seed %d", size, seed)
-			t.Logf("%d nodes, seed %d: alone after %s", size, seed, gone)
+			t.Logf("%d nodes, seed %d: survivor alone in Live after %s", size, seed, gone)
 
 			for _, n := range w.nodes[1:] {
 				w.startNode(n, processStart+w.now.Sub(w.start).Milliseconds(), w.list())
 			}
 
-			w.runUntil(time.Minute, w.complete)
-			assert.Assert(t, w.complete(), "size %d, seed %d", size, seed)
+			w.runUntil(time.Minute, w.converged)
+			assert.Assert(t, w.converged(), "size %d, seed %d", size, seed)
 		}
 	}
 }
--- a/internal/prober/figures_test.go
+++ b/internal/prober/figures_test.go
@@ -14,18 +14,18 @@
 	"quincepath.example/quincepath/internal/prober"
 )
 
-// figures are the measurements at one size.
+// figures are the measurements at one fleet size.
 type figures struct {
 	size int
-	// startup is the time from the first start until every node sees all others live.
+	// startup is the time from the first start until each node sees all others live.
 	startup time.Duration
-	// steady traffic of the mean node, in one second.
-	sentBytes, bothBytes, sentMessages float64
-	largest                            int
-	// startBytes is what the mean node sent and received a second from the start until all were seen.
+	// Steady-state traffic per second, averaged over the nodes.
+	sentBytes, totalBytes, sentMessages float64
+	largest                             int
+	// startBytes is the bytes sent and received per second during startup, averaged over the nodes.
 	startBytes float64
-	// times from a crash: until the first node and until all suspect, until half and all of the nodes hold it for dead.
-	suspected, doubted, half, all []time.Duration
+	// Times from a crash until the first node and until all nodes suspect the node, and until half and all consider it dead.
+	suspected, suspectedByAll, deadAtHalf, deadAtAll []time.Duration
 }
 
 const crashes = 5
@@ -35,29 +35,29 @@
 	w.startAll()
 
 	f := figures{size: size}
-	f.startup = w.runUntil(5*time.Minute, func() bool { return len(w.up()) == size && w.complete() })
-	f.busiest(w)
+	f.startup = w.runUntil(5*time.Minute, func() bool { return len(w.running()) == size && w.converged() })
+	f.measureStart(w)
 	w.run(90 * time.Second)
-	f.steady(w, 30*time.Second)
+	f.measureSteady(w, 30*time.Second)
 
 	for i := range min(crashes, size-2) {
-		f.crash(w, w.nodes[i])
+		f.measureCrash(w, w.nodes[i])
 		w.run(10 * time.Second)
 	}
 
 	return f
 }
 
-func (f *figures) busiest(w *network) {
+func (f *figures) measureStart(w *network) {
 	for _, n := range w.nodes {
-		f.startBytes += float64(n.sent.bytes+n.got.bytes) / float64(f.size) / f.startup.Seconds()
+		f.startBytes += float64(n.sent.bytes+n.received.bytes) / float64(f.size) / f.startup.Seconds()
 	}
 }
 
-func (f *figures) steady(w *network, length time.Duration) {
+func (f *figures) measureSteady(w *network, length time.Duration) {
 	for _, n := range w.nodes {
 		n.sent = traffic{}
-		n.got = traffic{}
+		n.received = traffic{}
 	}
 
 	w.run(length)
@@ -66,18 +66,18 @@
 
 	for _, n := range w.nodes {
 		f.sentBytes += float64(n.sent.bytes) / scale
-		f.bothBytes += float64(n.sent.bytes+n.got.bytes) / scale
+		f.totalBytes += float64(n.sent.bytes+n.received.bytes) / scale
 		f.sentMessages += float64(n.sent.messages) / scale
 		f.largest = max(f.largest, n.sent.largest)
 	}
 }
 
-func (f *figures) crash(w *network, n *node) {
+func (f *figures) measureCrash(w *network, n *node) {
 	n.down = true
 	died := w.now
 
 	share := func(least prober.State) float64 {
-		up := w.up()
+		up := w.running()
 		count := 0
 
 		for _, v := range up {
@@ -92,11 +92,11 @@
 	w.runUntil(time.Minute, func() bool { return share(prober.Suspect) > 0 })
 	f.suspected = append(f.suspected, w.now.Sub(died))
 	w.runUntil(time.Minute, func() bool { return share(prober.Suspect) == 1 })
-	f.doubted = append(f.doubted, w.now.Sub(died))
+	f.suspectedByAll = append(f.suspectedByAll, w.now.Sub(died))
 	w.runUntil(time.Minute, func() bool { return share(prober.Dead) >= 0.5 })
-	f.half = append(f.half, w.now.Sub(died))
+	f.deadAtHalf = append(f.deadAtHalf, w.now.Sub(died))
 	w.runUntil(time.Minute, func() bool { return share(prober.Dead) == 1 })
-	f.all = append(f.all, w.now.Sub(died))
+	f.deadAtAll = append(f.deadAtAll, w.now.Sub(died))
 }
 
 func median(list []time.Duration) float64 {
@@ -131,12 +131,12 @@
 
 	for _, f := range rows {
 		fmt.Fprintf(&table, "%d | %.1f | %.0f | %.0f | %.0f | %.2f | %d | %.1f / %.1f | %.1f / %.1f | %.1f / %.1f | %.1f / %.1f\n",
-			f.size, f.startup.Seconds(), f.startBytes, f.sentBytes, f.bothBytes, f.sentMessages, f.largest,
-			median(f.suspected), worst(f.suspected), median(f.doubted), worst(f.doubted), median(f.half), worst(f.half), median(f.all), worst(f.all))
+			f.size, f.startup.Seconds(), f.startBytes, f.sentBytes, f.totalBytes, f.sentMessages, f.largest,
+			median(f.suspected), worst(f.suspected), median(f.suspectedByAll), worst(f.suspectedByAll), median(f.deadAtHalf), worst(f.deadAtHalf), median(f.deadAtAll), worst(f.deadAtAll))
 
-		assert.Check(t, f.bothBytes < 1000, "the cost must stay under a third of 3 KB/s, both directions with headers")
-		assert.Check(t, worst(f.doubted) < 8, "a crashed node must move behind all others in time")
-		assert.Check(t, worst(f.all) < 10, "a crashed node must leave every list in time")
+		assert.Check(t, f.totalBytes < 1000, "the traffic in both directions with headers must stay under a third of 3 KB/s")
+		assert.Check(t, worst(f.suspectedByAll) < 8, "all nodes must suspect a crashed node in time, so that it is offered after all others")
+		assert.Check(t, worst(f.deadAtAll) < 10, "all nodes must consider a crashed node dead in time")
 		assert.Check(t, f.startup < 30*time.Second)
 	}
 
@@ -181,14 +181,14 @@
 
 	c := w.counters()
 	deaths := c.Deaths - before.Deaths
-	assert.Check(t, deaths == 0, "loss alone must make no live node dead")
+	assert.Check(t, deaths == 0, "packet loss alone must not make a live node dead")
 
 	return fmt.Sprintf("%d | %.2f | %.3f | %d | %d of %d\n", size, loss,
 		float64(c.Suspicions-before.Suspicions)/float64(size), deaths,
 		c.ProbesFailed-before.ProbesFailed, c.ProbesSent-before.ProbesSent)
 }
 
-// BenchmarkProber_NodeSecond is the processor time that one node of 370 needs for one second, codec included.
+// BenchmarkProber_NodeSecond measures the processor time that one node of 370 needs per second, including the codec.
 func BenchmarkProber_NodeSecond(b *testing.B) {
 	w := newNetwork(b, 370, 12, 1)
 	w.startAll()
--- a/internal/prober/fuzz_test.go
+++ b/internal/prober/fuzz_test.go
@@ -8,8 +8,8 @@
 	"quincepath.example/quincepath/internal/prober"
 )
 
-// FuzzReceive checks that no packet of an authentic peer, whatever it holds,
-// ends a node by a panic.
+// FuzzReceive checks that no packet of an authenticated peer makes a node panic,
+// whatever its content.
 func FuzzReceive(f *testing.F) {
 	for _, seed := range []string{
 		`{"t":1,"f":"node-2","i":5,"s":1,"p":9,"d":{"r":3,"u":"ab"}}`,
--- a/internal/prober/member.go
+++ b/internal/prober/member.go
@@ -7,32 +7,32 @@
 )
 
 const (
-	// freePenalty is the penalty up to which a node that returned is not held back: that of one
-	// return, and of another when nearly all of the first has faded.
-	freePenalty = 1.25
-	// maxDoublings bounds how often the hold time is doubled.
+	// suppressThreshold is the penalty from which a node that returned is suppressed. One return stays below it, as
+	// does a second one after the penalty of the first has decayed to less than a quarter.
+	suppressThreshold = 1.25
+	// maxDoublings limits how often the suppress time is doubled.
 	maxDoublings = 16
 )
 
-// member is a peer with what only the Prober needs to know.
+// member is a peer with the state that only the Prober uses.
 type member struct {
 	Member
-	guard replayGuard
-	// introduced says that the addresses come from the node itself.
-	introduced bool
-	// listLeaving is the list's mark, toldLeaving the node's own.
-	listLeaving bool
-	toldLeaving bool
-	// suspectedBy names the nodes that suspect first-hand; only while Suspect.
+	replays replayFilter
+	// selfReported is set if the addresses come from the node itself.
+	selfReported bool
+	// listLeaving is set by the platform's list, reportedLeaving by the node itself.
+	listLeaving     bool
+	reportedLeaving bool
+	// suspectedBy names the nodes whose own probes failed; only set while Suspect.
 	suspectedBy []string
-	// penalty counts the returns from Dead; it halves every PenaltyHalfLife from penaltyAt on.
+	// penalty grows by 1 with each return from Dead and halves every PenaltyHalfLife after penaltyAt.
 	penalty   float64
 	penaltyAt time.Time
 }
 
-func (m *member) view() Member {
+func (m *member) snapshot() Member {
 	v := m.Member
-	v.Leaving = m.listLeaving || m.toldLeaving
+	v.Leaving = m.listLeaving || m.reportedLeaving
 
 	return v
 }
@@ -41,7 +41,7 @@
 	m.Address = v.Address
 	m.FailureDomain = v.FailureDomain
 
-	// The platform's list has no address for peers; the settings or the node itself give it.
+	// The platform's list has no peer address; it comes from the settings or the node itself.
 	if v.PeerAddress != "" {
 		m.PeerAddress = v.PeerAddress
 	}
@@ -51,7 +51,7 @@
 	return &VM{Name: m.Name, Address: m.Address, PeerAddress: m.PeerAddress, FailureDomain: m.FailureDomain}
 }
 
-func (p *Prober) add(now time.Time, v VM) *member {
+func (p *Prober) addMember(now time.Time, v VM) *member {
 	m := &member{Member: Member{Name: v.Name, Since: now}}
 	m.setVM(v)
 	p.members[v.Name] = m
@@ -60,15 +60,15 @@
 	at, _ := slices.BinarySearch(p.names, v.Name)
 	p.names = slices.Insert(p.names, at, v.Name)
 
-	// A random place ahead keeps the time until the first probe alike for all newcomers.
-	place := p.position + p.random.IntN(len(p.ring)-p.position+1)
-	p.ring = slices.Insert(p.ring, place, v.Name)
+	// A random position among the remaining targets gives all new members the same expected time until their first probe.
+	index := p.probePosition + p.random.IntN(len(p.probeOrder)-p.probePosition+1)
+	p.probeOrder = slices.Insert(p.probeOrder, index, v.Name)
 
 	return m
 }
 
-// forget removes dead members that no list names.
-func (p *Prober) forget(now time.Time) {
+// removeExpired removes members that are not listed and have been dead for DeadRetention.
+func (p *Prober) removeExpired(now time.Time) {
 	if p.inState[Dead] == 0 {
 		return
 	}
@@ -87,13 +87,13 @@
 	})
 }
 
-// setState moves a member to another state and reports whether it changed.
+// setState sets the state of a member and reports whether it changed.
 func (p *Prober) setState(now time.Time, m *member, state State) bool {
 	if m.State == state {
 		return false
 	}
 
-	if m.State == Dead && state == Live && !m.toldLeaving {
+	if m.State == Dead && state == Live && !m.reportedLeaving {
 		p.penalise(now, m)
 	}
 
@@ -103,38 +103,38 @@
 	m.Since = now
 	m.suspectedBy = nil
 	m.LocalSuspicion = false
-	p.changes = append(p.changes, m.view())
+	p.changes = append(p.changes, m.snapshot())
 
 	return true
 }
 
-// penalise holds a member back that dies and returns again and again.
+// penalise suppresses a member that repeatedly dies and returns (flapping).
 //
-// A node with a bad link would come and go in the answers to callers, each time
-// with failed requests. The first return is free; each further one within the
-// half-life doubles the time for which the node must stay live before it counts.
+// A node with a bad link would otherwise be offered to callers after each return,
+// each time with failed requests. The first return has no effect; each further one
+// within the half-life doubles the time for which Live omits the node.
 func (p *Prober) penalise(now time.Time, m *member) {
-	halves := now.Sub(m.penaltyAt).Seconds() / p.options.PenaltyHalfLife.Seconds()
-	m.penalty = m.penalty*math.Exp2(-halves) + 1
+	halfLives := now.Sub(m.penaltyAt).Seconds() / p.options.PenaltyHalfLife.Seconds()
+	m.penalty = m.penalty*math.Exp2(-halfLives) + 1
 	m.penaltyAt = now
 
-	if m.penalty < freePenalty {
+	if m.penalty < suppressThreshold {
 		return
 	}
 
-	// The exponent is bounded before the multiplication so that it can't overflow.
+	// Limits the exponent so that the multiplication can't overflow.
 	factor := math.Exp2(min(math.Round(m.penalty)-2, maxDoublings))
-	hold := time.Duration(float64(p.options.SuppressTime) * max(factor, 1))
-	m.SuppressedUntil = now.Add(min(hold, p.options.MaxSuppressTime))
+	suppressTime := time.Duration(float64(p.options.SuppressTime) * max(factor, 1))
+	m.SuppressedUntil = now.Add(min(suppressTime, p.options.MaxSuppressTime))
 }
 
-// pick returns up to count random members that may answer, without the named one.
-func (p *Prober) pick(count int, without string) []*member {
+// randomLive returns up to count random live members with a peer address, except the given one.
+func (p *Prober) randomLive(count int, exclude string) []*member {
 	var candidates []*member
 
 	for _, name := range p.names {
 		m := p.members[name]
-		if name == without || m.State != Live || m.PeerAddress == "" {
+		if name == exclude || m.State != Live || m.PeerAddress == "" {
 			continue
 		}
 
@@ -148,7 +148,7 @@
 	return candidates[:min(count, len(candidates))]
 }
 
-// size is the number of nodes that are not dead, this one included.
-func (p *Prober) size() int {
+// nodeCount returns the number of nodes that are not dead, including this one.
+func (p *Prober) nodeCount() int {
 	return 1 + len(p.members) - p.inState[Dead]
 }
--- a/internal/prober/network_test.go
+++ b/internal/prober/network_test.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	tickEvery = 100 * time.Millisecond
-	// headerBytes are those of IP and UDP.
+	tickPeriod = 100 * time.Millisecond
+	// headerBytes is the size of the IP and UDP headers.
 	headerBytes = 28
 	credential  = "test credential"
-	// processStart is the incarnation of the first run of each node.
+	// processStart is the incarnation of the first process of each node.
 	processStart = 1_764_698_186_000
 )
 
-// tester is the part of testing.TB that a rapid check has as well.
-type tester interface {
+// testingT is the part of testing.TB that rapid.T has too.
+type testingT interface {
 	assert.TestingT
 	Helper()
 }
 
-// event is a datagram that arrives, a tick or a step of the test.
+// event is the arrival of a datagram, a tick or a step of a test.
 type event struct {
 	at     time.Time
 	number int
@@ -53,16 +53,16 @@
 type node struct {
 	vm     prober.VM
 	prober *prober.Prober
-	// run counts the starts; a tick of an earlier run does nothing.
+	// run counts the starts; ticks of an earlier process are ignored.
 	run    int
 	down   bool
 	frozen bool
-	// waiting holds what arrived while frozen, as a socket does.
-	waiting []func()
-	digest  prober.Digest
-	heard   map[string]prober.Digest
-	sent    traffic
-	got     traffic
+	// backlog has the events that arrived while frozen, like the buffer of a socket.
+	backlog  []func()
+	digest   prober.Digest
+	digests  map[string]prober.Digest
+	sent     traffic
+	received traffic
 }
 
 type traffic struct {
@@ -77,9 +77,9 @@
 	c.largest = max(c.largest, size)
 }
 
-// network joins nodes in memory under virtual time.
+// network connects nodes in memory, in virtual time.
 type network struct {
-	t      tester
+	t      testingT
 	now    time.Time
 	start  time.Time
 	queue  events
@@ -89,13 +89,13 @@
 	nodes  []*node
 	byName map[string]*node
 	loss   float64
-	// cut says whether datagrams from one node to another are lost.
+	// cut reports whether datagrams from one node to another are lost.
 	cut func(from, to *node) bool
-	// options are changed by a test before start.
+	// options can be changed by a test before nodes start.
 	options prober.Options
 }
 
-func newNetwork(t tester, size, domains int, seed uint64) *network {
+func newNetwork(t testingT, size, domains int, seed uint64) *network {
 	codec, err := prober.NewCodec(credential)
 	assert.NilError(t, err)
 
@@ -106,7 +106,7 @@
 	}
 
 	for i := range size {
-		n := &node{heard: make(map[string]prober.Digest), vm: prober.VM{
+		n := &node{digests: make(map[string]prober.Digest), vm: prober.VM{
 			Name:          fmt.Sprintf("entry-%03d", i),
 			Address:       fmt.Sprintf("10.0.%d.%d:8080", i/250, i%250),
 			PeerAddress:   fmt.Sprintf("10.0.%d.%d:8081", i/250, i%250),
@@ -128,7 +128,7 @@
 	return list
 }
 
-// startAll starts every node within a second, with the list of all.
+// startAll starts all nodes within a second, each with the list of all.
 func (w *network) startAll() {
 	list := w.list()
 	for _, n := range w.nodes {
@@ -140,14 +140,14 @@
 	n.run++
 	n.down = false
 	n.frozen = false
-	n.waiting = nil
+	n.backlog = nil
 
 	options := w.options
 	options.Self = n.vm
 	options.Incarnation = incarnation
 	options.Seed = w.random.Uint64()
 	options.LocalDigest = func() prober.Digest { return n.digest }
-	options.OnDigest = func(from string, d prober.Digest) { n.heard[from] = d }
+	options.OnDigest = func(from string, d prober.Digest) { n.digests[from] = d }
 	n.prober = prober.New(options)
 	n.prober.SetListedNodes(w.now, list)
 	w.tick(n, n.run)
@@ -158,11 +158,11 @@
 		return
 	}
 
-	w.deliver(n, func() { w.post(n, n.prober.Tick(w.now)) })
-	w.after(tickEvery, func() { w.tick(n, run) })
+	w.deliver(n, func() { w.send(n, n.prober.Tick(w.now)) })
+	w.after(tickPeriod, func() { w.tick(n, run) })
 }
 
-// deliver runs an event at a node, or keeps it while the node is frozen.
+// deliver runs an event at a node, or queues it while the node is frozen.
 func (w *network) deliver(n *node, run func()) {
 	if !n.frozen {
 		run()
@@ -170,23 +170,23 @@
 		return
 	}
 
-	// A frozen process has one overdue tick and a socket that holds so much.
-	if len(n.waiting) < 100 {
-		n.waiting = append(n.waiting, run)
+	// Limits the backlog, like the buffer of a socket.
+	if len(n.backlog) < 100 {
+		n.backlog = append(n.backlog, run)
 	}
 }
 
-func (w *network) thaw(n *node) {
+func (w *network) resume(n *node) {
 	n.frozen = false
-	waiting := n.waiting
-	n.waiting = nil
+	waiting := n.backlog
+	n.backlog = nil
 
 	for _, run := range waiting {
 		run()
 	}
 }
 
-func (w *network) post(from *node, messages []prober.Message) {
+func (w *network) send(from *node, messages []prober.Message) {
 	for _, m := range messages {
 		datagram, err := w.codec.Encode(m.To, m.Packet)
 		assert.NilError(w.t, err)
@@ -199,23 +199,23 @@
 			continue
 		}
 
-		// One-way latency of 1.5 ms with a spread, so that datagrams overtake each other.
+		// One-way latency of 1.5 ms plus up to 1 ms, so that datagrams are reordered.
 		latency := 1500*time.Microsecond + time.Duration(w.random.Int64N(int64(time.Millisecond)))
-		w.after(latency, func() { w.arrive(to, datagram, size) })
+		w.after(latency, func() { w.receive(to, datagram, size) })
 	}
 }
 
-func (w *network) arrive(to *node, datagram []byte, size int) {
+func (w *network) receive(to *node, datagram []byte, size int) {
 	if to.down || to.prober == nil {
 		return
 	}
 
 	w.deliver(to, func() {
-		to.got.add(size)
+		to.received.add(size)
 
 		packet, err := w.codec.Decode(to.vm.Name, datagram)
 		assert.NilError(w.t, err)
-		w.post(to, to.prober.Receive(w.now, packet))
+		w.send(to, to.prober.Receive(w.now, packet))
 	})
 }
 
@@ -224,12 +224,12 @@
 	heap.Push(&w.queue, event{at: w.now.Add(wait), number: w.number, run: run})
 }
 
-// run lets virtual time pass.
+// run advances the virtual time.
 func (w *network) run(length time.Duration) {
 	w.runUntil(length, func() bool { return false })
 }
 
-// runUntil lets virtual time pass until the condition holds, looked at ten times a second, and returns the time taken.
+// runUntil advances the virtual time until the condition holds, which is checked ten times a second, and returns the time taken.
 func (w *network) runUntil(limit time.Duration, holds func() bool) time.Duration {
 	start := w.now
 	end := start.Add(limit)
@@ -244,7 +244,7 @@
 			continue
 		}
 
-		next = w.now.Add(tickEvery)
+		next = w.now.Add(tickPeriod)
 
 		if holds() {
 			return w.now.Sub(start)
@@ -262,8 +262,8 @@
 	return m
 }
 
-// up lists the nodes that run and are not frozen.
-func (w *network) up() []*node {
+// running returns the nodes that run and are not frozen.
+func (w *network) running() []*node {
 	var up []*node
 
 	for _, n := range w.nodes {
@@ -275,9 +275,9 @@
 	return up
 }
 
-// agreed says whether all running nodes see the node in the state.
-func (w *network) agreed(of *node, state prober.State) bool {
-	for _, n := range w.up() {
+// allSee reports whether all other running nodes see the node in the state.
+func (w *network) allSee(of *node, state prober.State) bool {
+	for _, n := range w.running() {
 		if n != of && w.state(n, of).State != state {
 			return false
 		}
@@ -286,9 +286,9 @@
 	return true
 }
 
-// complete says whether each running node sees just the running nodes as live.
-func (w *network) complete() bool {
-	up := w.up()
+// converged reports whether each running node sees exactly the running nodes as live.
+func (w *network) converged() bool {
+	up := w.running()
 	if len(up) == 0 {
 		return false
 	}
--- a/internal/prober/options.go
+++ b/internal/prober/options.go
@@ -5,54 +5,54 @@
 	"time"
 )
 
-// Options are the fixed parameters of a Prober; zero values take the defaults of DefaultOptions.
+// Options are the parameters of a Prober; zero values are replaced by those of DefaultOptions.
 type Options struct {
-	// Self names this node; Leaving is ignored.
+	// Self describes this node; its Leaving is ignored.
 	Self VM
-	// Incarnation is the start time of the process in milliseconds, so that it grows with each restart.
-	// A clock that went back is mended by the peers, who tell the incarnation that they know.
+	// Incarnation is the start time of the process in Unix milliseconds, so that it grows with each restart.
+	// If the clock went backwards, peers report the incarnation that they know and the node exceeds it.
 	Incarnation int64
-	// Seed makes the choice of peers repeatable.
+	// Seed makes the random choice of peers reproducible.
 	Seed uint64
 
-	// Period is the time between two rounds of probes.
+	// Period is the interval between rounds of probes.
 	Period time.Duration
 	// ProbesPerPeriod is the number of peers probed in one round.
 	ProbesPerPeriod int
-	// AckTimeout is how long a direct probe waits before others are asked.
+	// AckTimeout is how long a direct probe waits for its ack before indirect probes are sent.
 	AckTimeout time.Duration
-	// IndirectTimeout is how long the indirect probes may then take.
+	// IndirectTimeout is how long the indirect probes may take after that.
 	IndirectTimeout time.Duration
-	// IndirectProbes is the number of peers asked.
+	// IndirectProbes is the number of peers asked to probe an unresponsive target.
 	IndirectProbes int
-	// MinSuspicionTimeout is the shortest time for a refutation in a fleet of up to 10 nodes; it grows by the logarithm.
+	// MinSuspicionTimeout is the shortest time allowed for a refutation among up to 10 nodes; it grows with the logarithm of the node count.
 	MinSuspicionTimeout time.Duration
-	// FreezeThreshold is the delay of an own tick after which the node doubts itself.
+	// FreezeThreshold is the time without any event after which the node assumes that its own process was paused.
 	FreezeThreshold time.Duration
-	// DeadProbePeriod is the time between two probes of dead nodes that the list still names.
+	// DeadProbePeriod is the interval between probes of dead nodes that are still listed.
 	DeadProbePeriod time.Duration
-	// DeadRetention is how long a dead node that no list names is remembered.
+	// DeadRetention is how long a dead node that is not listed is kept.
 	DeadRetention time.Duration
-	// SuppressTime keeps a node that returned twice within PenaltyHalfLife out of Live; it doubles with each return up to HoldMax.
+	// SuppressTime is how long Live omits a node that returned twice within PenaltyHalfLife; it doubles with each return up to MaxSuppressTime.
 	SuppressTime    time.Duration
 	MaxSuppressTime time.Duration
 	PenaltyHalfLife time.Duration
-	// AddressAnnounceTime is how long after its start a node tells its addresses in each packet.
+	// AddressAnnounceTime is how long after its start a node includes its addresses in each packet.
 	AddressAnnounceTime time.Duration
-	// UpdatesPerPacket bounds the news in a packet; one with addresses counts as three.
+	// UpdatesPerPacket limits the updates in a packet; one with addresses counts as three.
 	UpdatesPerPacket int
-	// RetransmitMultiplier times the logarithm of the node count bounds how often one piece of news is sent.
+	// RetransmitMultiplier times the logarithm of the node count limits how often an update is sent.
 	RetransmitMultiplier int
 
-	// LocalDigest returns the digest to send; nil sends an empty one. It is called without locks.
+	// LocalDigest returns the digest to send; if nil, an empty one is sent. It is called without locks held.
 	LocalDigest func() Digest
-	// OnDigest receives the digest of each packet accepted; nil ignores it. It is called without locks.
+	// OnDigest is called with the digest of each accepted packet, without locks held; it may be nil.
 	OnDigest func(from string, digest Digest)
-	// OnStateChange receives each member whose state changed; nil ignores it. It is called without locks.
+	// OnStateChange is called with each member whose state changed, without locks held; it may be nil.
 	OnStateChange func(member Member)
 }
 
-// DefaultOptions returns the parameters that the measurements in the tests argue for.
+// DefaultOptions returns the default parameters; TestProber_Figures and TestProber_LossFigures measure their effect.
 func DefaultOptions() Options {
 	return Options{
 		Period:               500 * time.Millisecond,
@@ -107,13 +107,13 @@
 	return o
 }
 
-// suspicionTime is the shortest time until a suspect counts as dead among n nodes.
-// News needs a number of rounds that grows with the logarithm of n to reach the suspect and return.
-func (o Options) suspicionTime(n int) time.Duration {
+// minSuspicionTimeout is the shortest time until a suspect is considered dead among n nodes.
+// A suspicion takes O(log n) rounds to reach the suspect, and so does the refutation on its way back.
+func (o Options) minSuspicionTimeout(n int) time.Duration {
 	return time.Duration(float64(o.MinSuspicionTimeout) * max(1, math.Log10(float64(max(n, 1)))))
 }
 
-// transmissions is how often one piece of news is sent among n nodes.
-func (o Options) transmissions(n int) int {
+// maxTransmissions is how often an update is sent among n nodes.
+func (o Options) maxTransmissions(n int) int {
 	return int(math.Ceil(float64(o.RetransmitMultiplier) * math.Log10(float64(n)+1)))
 }
--- a/internal/prober/prober.go
+++ b/internal/prober/prober.go
@@ -7,41 +7,41 @@
 	"time"
 )
 
-// Prober is the membership decision of one node. It is safe for concurrent use.
+// Prober keeps the membership view of one node. It is safe for concurrent use.
 type Prober struct {
 	options Options
 
 	mu     sync.Mutex
 	random *rand.Rand
-	// self is this node; its incarnation never falls.
+	// self is this node; its incarnation never decreases.
 	self    Member
 	started time.Time
 	digest  Digest
-	// members has all nodes but self; names has their names in order.
+	// members has all nodes except self; names has their names, sorted.
 	members map[string]*member
 	names   []string
-	// inState counts the members in each state; it spares most walks over all members.
+	// inState counts the members in each state, to avoid most iterations over all members.
 	inState [Dead + 1]int
-	// ring is a shuffled order of the names; position is the next to probe.
-	ring     []string
-	position int
-
-	// sequence numbers datagrams and probe numbers probes.
-	sequence uint64
-	probe    uint64
-	pending  []*pendingProbe
-	relays   []relay
-	news     []*queuedNews
-	sync     syncState
-
-	// health is 0 for a node that trusts itself, up to maxHealth; it stretches all timeouts.
-	health        int
-	lastSeen      time.Time
-	nextRound     time.Time
-	nextDeadProbe time.Time
-	deadPosition  int
-	doubtPosition int
-	// lastAck is when any peer last answered a probe of this node.
+	// probeOrder has the names in random order; probePosition is the index of the next one to probe.
+	probeOrder    []string
+	probePosition int
+
+	// sequence is the number of the last datagram, lastProbeNumber that of the last probe.
+	sequence        uint64
+	lastProbeNumber uint64
+	pending         []*pendingProbe
+	relays          []relayedProbe
+	updates         []*queuedUpdate
+	sync            syncState
+
+	// healthScore is 0 for a healthy node and at most maxHealthScore; higher values lengthen all timeouts.
+	healthScore     int
+	lastEvent       time.Time
+	nextRound       time.Time
+	nextDeadProbe   time.Time
+	deadPosition    int
+	suspectPosition int
+	// lastAck is the time at which any peer last answered a probe of this node.
 	lastAck time.Time
 
 	outbox   []Message
@@ -49,7 +49,7 @@
 	counters Counters
 }
 
-// New returns the membership of a node that has just started and knows nobody.
+// New returns the Prober of a node that has just started and knows no peers.
 func New(options Options) *Prober {
 	options = options.withDefaults()
 	random := rand.New(rand.NewPCG(options.Seed, uint64(options.Incarnation)))
@@ -66,16 +66,17 @@
 			Incarnation:   max(options.Incarnation, 1),
 		},
 		members: make(map[string]*member),
-		// Probe numbers of an earlier run must not be mistaken for those of this one.
-		probe: uint64(random.Uint32()),
-		sync:  syncState{wanted: true},
+		// A random start keeps late acks to an earlier process of this node from matching its probes.
+		lastProbeNumber: uint64(random.Uint32()),
+		sync:            syncState{needed: true},
 	}
 }
 
-// Tick does what is due: probes, timeouts, deaths. Call it ten times a second; a late call makes the node doubt itself.
+// Tick sends due probes and handles expired timeouts. It must be called ten times a second; a call later than
+// FreezeThreshold is taken as a pause of this process.
 func (p *Prober) Tick(now time.Time) []Message {
-	messages, changes := p.tick(now, p.fill())
-	p.tell(changes)
+	messages, changes := p.tick(now, p.localDigest())
+	p.notify(changes)
 
 	return messages
 }
@@ -85,23 +86,23 @@
 	defer p.mu.Unlock()
 
 	p.digest = digest
-	p.begin(now)
+	p.beginEvent(now)
 	p.expireProbes(now)
 	p.expireSuspicions(now)
-	p.forget(now)
+	p.removeExpired(now)
 
 	if !now.Before(p.nextRound) {
-		p.round(now)
+		p.startRound(now)
 	}
 
 	return p.takeOutbox(), p.takeChanges()
 }
 
-// Receive takes in an authentic packet and returns the answers.
+// Receive handles an authenticated packet and returns the messages to send.
 func (p *Prober) Receive(now time.Time, packet Packet) []Message {
-	digest := p.fill()
+	digest := p.localDigest()
 	messages, changes, accepted := p.receive(now, packet, digest)
-	p.tell(changes)
+	p.notify(changes)
 
 	if accepted && p.options.OnDigest != nil {
 		p.options.OnDigest(packet.From, packet.Digest)
@@ -115,7 +116,7 @@
 	defer p.mu.Unlock()
 
 	p.digest = digest
-	p.begin(now)
+	p.beginEvent(now)
 
 	sender := p.admit(now, packet)
 	if sender == nil {
@@ -125,23 +126,23 @@
 	p.refute(packet.RefuteIncarnation)
 
 	for _, v := range packet.Updates {
-		p.apply(now, v, packet.Kind != KindSyncReply)
+		p.applyUpdate(now, v, packet.Kind != KindSyncReply)
 	}
 
-	p.answer(now, sender, packet)
+	p.handle(now, sender, packet)
 
 	return p.takeOutbox(), p.takeChanges(), true
 }
 
-// answer does what the kind of the packet asks for.
-func (p *Prober) answer(now time.Time, sender *member, packet Packet) {
+// handle performs the request of a packet according to its kind.
+func (p *Prober) handle(now time.Time, sender *member, packet Packet) {
 	switch packet.Kind {
 	case KindProbe:
 		p.send(now, sender, Packet{Kind: KindAck, ProbeNumber: packet.ProbeNumber})
 	case KindAck:
-		p.acknowledge(now, sender, packet)
+		p.handleAck(now, sender, packet)
 	case KindIndirectProbe:
-		p.relay(now, sender, packet)
+		p.relayProbe(now, sender, packet)
 	case KindSync:
 		p.sendSyncReply(now, sender, packet.Target)
 	case KindSyncReply:
@@ -150,8 +151,8 @@
 	}
 }
 
-// SetListedNodes takes in what the platform's list or the settings say about who may exist.
-// An empty list says nothing. A member that the list lacks stays as long as it answers.
+// SetListedNodes sets the nodes that the platform's list or the settings name.
+// An empty list is ignored. A member that is not listed stays as long as it answers.
 func (p *Prober) SetListedNodes(now time.Time, list []VM) {
 	if len(list) == 0 {
 		return
@@ -176,20 +177,20 @@
 
 		m := p.members[v.Name]
 		if m == nil {
-			m = p.add(now, v)
+			m = p.addMember(now, v)
 		}
 
 		m.Listed = true
 		m.listLeaving = v.Leaving
 
-		// What a node tells about itself is newer than the list.
-		if !m.introduced {
+		// Addresses from the node itself are newer than the list.
+		if !m.selfReported {
 			m.setVM(v)
 		}
 	}
 }
 
-// Leave announces a planned stop to all members at once and in all later packets.
+// Leave announces a planned stop to all members immediately and in all later packets.
 func (p *Prober) Leave(now time.Time) []Message {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -210,23 +211,23 @@
 	return p.takeOutbox()
 }
 
-// Announce tells the present digest to some random members at once, for news that cannot wait for the next probes.
+// Announce sends the current digest to count random members immediately, for changes that cannot wait for the next probes.
 func (p *Prober) Announce(now time.Time, count int) []Message {
-	digest := p.fill()
+	digest := p.localDigest()
 
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
 	p.digest = digest
 
-	for _, m := range p.pick(count, "") {
+	for _, m := range p.randomLive(count, "") {
 		p.send(now, m, Packet{Kind: KindDigest})
 	}
 
 	return p.takeOutbox()
 }
 
-// Self returns this node. Its Leaving says only what the node itself announced.
+// Self returns this node. Leaving is set only if the node itself announced it.
 func (p *Prober) Self() Member {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -234,14 +235,14 @@
 	return p.self
 }
 
-// Members returns all nodes in name order, this one included.
+// Members returns all nodes sorted by name, including this one.
 func (p *Prober) Members() []Member {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
 	list := make([]Member, 0, len(p.members)+1)
 	for _, name := range p.names {
-		list = append(list, p.members[name].view())
+		list = append(list, p.members[name].snapshot())
 	}
 
 	at, _ := slices.BinarySearch(p.names, p.self.Name)
@@ -249,7 +250,7 @@
 	return slices.Insert(list, at, p.self)
 }
 
-// Member returns one node by its name.
+// Member returns the node with the given name.
 func (p *Prober) Member(name string) (Member, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -263,26 +264,27 @@
 		return Member{}, false
 	}
 
-	return m.view(), true
+	return m.snapshot(), true
 }
 
-// Live returns the nodes to count on, in name order, this one included.
-// Suspects are among them until they are dead, so that a false suspicion moves nothing;
-// those with a hold after repeated returns, and those that stay silent while nobody
-// answers this node, are not. Leaving nodes carry their mark.
+// Live returns the usable nodes sorted by name, including this one.
+//
+// Suspects are included until they are dead, so that a false suspicion changes nothing.
+// Members that are suppressed after repeated returns are not, nor are those under a
+// local suspicion that has expired. Leaving nodes are included with Leaving set.
 func (p *Prober) Live(now time.Time) []Member {
 	members := p.Members()
-	patience := unconfirmedFactor * p.options.suspicionTime(len(members))
+	localSuspicionTimeout := unconfirmedFactor * p.options.minSuspicionTimeout(len(members))
 
 	return slices.DeleteFunc(members, func(m Member) bool {
-		proven := m.Incarnation > 0 && (m.State == Live || m.State == Suspect)
-		silent := m.LocalSuspicion && now.Sub(m.Since) > patience
+		known := m.Incarnation > 0 && (m.State == Live || m.State == Suspect)
+		expired := m.LocalSuspicion && now.Sub(m.Since) > localSuspicionTimeout
 
-		return !proven || silent || now.Before(m.SuppressedUntil)
+		return !known || expired || now.Before(m.SuppressedUntil)
 	})
 }
 
-// Count returns the number of members in a state, without this node.
+// Count returns the number of members in a state, excluding this node.
 func (p *Prober) Count(state State) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -290,7 +292,7 @@
 	return p.inState[state]
 }
 
-// Isolated says that nobody answered this node's probes for a while; what it holds of others is then doubtful.
+// Isolated reports whether no peer has answered this node's probes for a while, so that its view of the others is unreliable.
 func (p *Prober) Isolated(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -298,7 +300,7 @@
 	return p.isolated(now)
 }
 
-// PeerRevision returns the settings revision that a peer last told.
+// PeerRevision returns the settings revision that a peer last reported.
 func (p *Prober) PeerRevision(name string) (int64, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -311,7 +313,7 @@
 	return m.Digest.Revision, true
 }
 
-// Counters returns what happened since the start.
+// Counters returns the totals since the start.
 func (p *Prober) Counters() Counters {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -319,7 +321,7 @@
 	return p.counters
 }
 
-func (p *Prober) fill() Digest {
+func (p *Prober) localDigest() Digest {
 	if p.options.LocalDigest == nil {
 		return Digest{}
 	}
@@ -327,7 +329,7 @@
 	return p.options.LocalDigest()
 }
 
-func (p *Prober) tell(changes []Member) {
+func (p *Prober) notify(changes []Member) {
 	if p.options.OnStateChange == nil {
 		return
 	}
--- a/internal/prober/probing.go
+++ b/internal/prober/probing.go
@@ -6,31 +6,31 @@
 )
 
 const (
-	// relaysMax bounds the probes on behalf of others that are under way.
-	relaysMax = 64
-	// relayKeep is how long a probe on behalf of another node waits for its answer.
-	relayKeep = 2 * time.Second
-	// isolatedProbes is by how much an isolated node probes more. With all nodes cut off from each
-	// other each sends some 1.3 KB a second, within the budget of a node for control.
-	isolatedProbes = 4
-	// jitter is the part of the period by which rounds of probes vary, so that nodes do not fall into step.
+	// maxRelays limits the pending probes on behalf of other nodes.
+	maxRelays = 64
+	// relayTimeout is how long a probe on behalf of another node waits for its ack.
+	relayTimeout = 2 * time.Second
+	// isolatedProbeFactor multiplies the probes per round of an isolated node. If all nodes are cut off from
+	// each other, each sends about 1.3 KB/s, which is within the control traffic budget of a node.
+	isolatedProbeFactor = 4
+	// jitter is the fraction of the period by which rounds vary, so that nodes do not synchronise.
 	jitter = 0.1
 )
 
-// pendingProbe is a probe of this node without an answer yet.
+// pendingProbe is a probe of this node that has no ack yet.
 type pendingProbe struct {
-	number  uint64
-	target  string
-	started time.Time
-	askAt   time.Time
-	failAt  time.Time
-	// indirect says that others are to be asked before the probe fails.
-	indirect bool
-	asked    bool
+	number     uint64
+	target     string
+	started    time.Time
+	indirectAt time.Time
+	failAt     time.Time
+	// indirect is set if indirect probes are sent before the probe fails.
+	indirect     bool
+	indirectSent bool
 }
 
-// relay is a probe on behalf of another node.
-type relay struct {
+// relayedProbe is a pending probe on behalf of another node.
+type relayedProbe struct {
 	number       uint64
 	origin       string
 	originNumber uint64
@@ -38,18 +38,18 @@
 	expires      time.Time
 }
 
-// round sends the probes of one period: to the next in the ring, to one suspect,
-// and now and then to one dead member that the list still names.
+// startRound sends the probes of one period: to the next targets in probe order, to one
+// suspect, and every DeadProbePeriod to one dead member that is still listed.
 //
-// Suspects are probed directly by all who hold them for suspect: the probe tells
-// the suspect what it must refute, and the answer comes also where the news of
-// the refutation was lost. Without it loss alone would make a live node dead.
-func (p *Prober) round(now time.Time) {
+// Each node that suspects a member probes it directly: the probe tells the suspect
+// which incarnation to refute, and its ack arrives even if the refutation's update
+// was lost. Otherwise packet loss alone would make a live node dead.
+func (p *Prober) startRound(now time.Time) {
 	period := p.options.Period
 	p.nextRound = now.Add(time.Duration(float64(period) * (1 + jitter*(2*p.random.Float64()-1))))
 
-	for range p.probesNow(now) {
-		if m := p.nextInRing(); m != nil {
+	for range p.probesPerRound(now) {
+		if m := p.nextProbeTarget(); m != nil {
 			p.startProbe(now, m, true)
 		}
 	}
@@ -69,38 +69,38 @@
 	p.requestSync(now)
 }
 
-// probesNow is the number of members to probe in a round. An isolated node has to
-// ask all of them before it knows that it is alone, or which of them are back.
-func (p *Prober) probesNow(now time.Time) int {
+// probesPerRound returns the number of members to probe in a round. An isolated node has to
+// probe all of them to find out whether it is alone or which of them are back.
+func (p *Prober) probesPerRound(now time.Time) int {
 	if p.isolated(now) {
-		return p.options.ProbesPerPeriod * isolatedProbes
+		return p.options.ProbesPerPeriod * isolatedProbeFactor
 	}
 
 	return p.options.ProbesPerPeriod
 }
 
-// nextInRing returns the next member to probe: each once in random order, then in another order.
-// It returns nil when the rest of the ring has nobody to probe.
-func (p *Prober) nextInRing() *member {
+// nextProbeTarget returns the next member to probe: each once in random order, then in a new random order.
+// It returns nil if no member can be probed.
+func (p *Prober) nextProbeTarget() *member {
 	for range 2 {
-		for p.position < len(p.ring) {
-			m := p.members[p.ring[p.position]]
-			p.position++
+		for p.probePosition < len(p.probeOrder) {
+			m := p.members[p.probeOrder[p.probePosition]]
+			p.probePosition++
 
-			if m != nil && m.State != Dead && p.probable(m) {
+			if m != nil && m.State != Dead && p.canProbe(m) {
 				return m
 			}
 		}
 
-		p.ring = slices.Clone(p.names)
-		p.position = 0
-		p.random.Shuffle(len(p.ring), func(i, j int) { p.ring[i], p.ring[j] = p.ring[j], p.ring[i] })
+		p.probeOrder = slices.Clone(p.names)
+		p.probePosition = 0
+		p.random.Shuffle(len(p.probeOrder), func(i, j int) { p.probeOrder[i], p.probeOrder[j] = p.probeOrder[j], p.probeOrder[i] })
 	}
 
 	return nil
 }
 
-func (p *Prober) probable(m *member) bool {
+func (p *Prober) canProbe(m *member) bool {
 	if m.PeerAddress == "" {
 		return false
 	}
@@ -108,27 +108,27 @@
 	return !slices.ContainsFunc(p.pending, func(v *pendingProbe) bool { return v.target == m.Name })
 }
 
-// nextSuspect returns one suspect.
+// nextSuspect returns the next suspect to probe.
 func (p *Prober) nextSuspect() *member {
 	if p.inState[Suspect] == 0 {
 		return nil
 	}
 
-	return p.nextOf(&p.doubtPosition, func(m *member) bool { return m.State == Suspect })
+	return p.nextMatching(&p.suspectPosition, func(m *member) bool { return m.State == Suspect })
 }
 
-// nextDead returns one dead member that the list still names.
+// nextDead returns the next dead member to probe that is still listed.
 func (p *Prober) nextDead() *member {
-	return p.nextOf(&p.deadPosition, func(m *member) bool { return m.State == Dead && m.Listed })
+	return p.nextMatching(&p.deadPosition, func(m *member) bool { return m.State == Dead && m.Listed })
 }
 
-// nextOf returns the next member from a position on that fits and has no probe under way.
-func (p *Prober) nextOf(position *int, fits func(*member) bool) *member {
+// nextMatching returns the next member after a position that matches and has no pending probe.
+func (p *Prober) nextMatching(position *int, matches func(*member) bool) *member {
 	for range p.names {
 		*position = (*position + 1) % len(p.names)
 		m := p.members[p.names[*position]]
 
-		if fits(m) && p.probable(m) {
+		if matches(m) && p.canProbe(m) {
 			return m
 		}
 	}
@@ -137,22 +137,22 @@
 }
 
 func (p *Prober) startProbe(now time.Time, m *member, indirect bool) {
-	p.probe++
-	scale := time.Duration(1 + p.health)
-	askAt := now.Add(p.options.AckTimeout * scale)
+	p.lastProbeNumber++
+	scale := time.Duration(1 + p.healthScore)
+	indirectAt := now.Add(p.options.AckTimeout * scale)
 	p.pending = append(p.pending, &pendingProbe{
-		number:   p.probe,
-		target:   m.Name,
-		started:  now,
-		askAt:    askAt,
-		failAt:   askAt.Add(p.options.IndirectTimeout * scale),
-		indirect: indirect,
+		number:     p.lastProbeNumber,
+		target:     m.Name,
+		started:    now,
+		indirectAt: indirectAt,
+		failAt:     indirectAt.Add(p.options.IndirectTimeout * scale),
+		indirect:   indirect,
 	})
 	p.counters.ProbesSent++
-	p.send(now, m, Packet{Kind: KindProbe, ProbeNumber: p.probe})
+	p.send(now, m, Packet{Kind: KindProbe, ProbeNumber: p.lastProbeNumber})
 }
 
-// expireProbes asks others about silent targets and fails probes without any answer.
+// expireProbes sends indirect probes after the ack timeout and fails probes without any ack.
 func (p *Prober) expireProbes(now time.Time) {
 	var failed []*pendingProbe
 
@@ -163,31 +163,31 @@
 			return true
 		}
 
-		if v.indirect && !v.asked && !now.Before(v.askAt) {
-			v.asked = true
-			p.askOthers(now, v)
+		if v.indirect && !v.indirectSent && !now.Before(v.indirectAt) {
+			v.indirectSent = true
+			p.sendIndirectProbes(now, v)
 		}
 
 		return false
 	})
 
 	for _, v := range failed {
-		p.fail(now, v)
+		p.handleFailedProbe(now, v)
 	}
 
-	p.relays = slices.DeleteFunc(p.relays, func(v relay) bool { return !now.Before(v.expires) })
+	p.relays = slices.DeleteFunc(p.relays, func(v relayedProbe) bool { return !now.Before(v.expires) })
 }
 
-func (p *Prober) askOthers(now time.Time, probe *pendingProbe) {
-	for _, m := range p.pick(p.options.IndirectProbes, probe.target) {
+func (p *Prober) sendIndirectProbes(now time.Time, probe *pendingProbe) {
+	for _, m := range p.randomLive(p.options.IndirectProbes, probe.target) {
 		p.counters.IndirectProbes++
 		p.send(now, m, Packet{Kind: KindIndirectProbe, ProbeNumber: probe.number, Target: probe.target})
 	}
 }
 
-// fail suspects the target of a probe, but not when nobody else answers either:
-// then this node's own link may be cut.
-func (p *Prober) fail(now time.Time, probe *pendingProbe) {
+// handleFailedProbe suspects the target of a failed probe. If no other peer answers either, the suspicion stays
+// local, because this node's own link may be down.
+func (p *Prober) handleFailedProbe(now time.Time, probe *pendingProbe) {
 	p.counters.ProbesFailed++
 
 	m := p.members[probe.target]
@@ -197,8 +197,8 @@
 
 	if p.lastAck.Before(probe.started.Add(-p.options.Period)) {
 		p.counters.SelfDoubts++
-		p.loseHealth(1)
-		p.suspectSilently(now, m)
+		p.degradeHealth(1)
+		p.suspectLocally(now, m)
 
 		return
 	}
@@ -206,8 +206,8 @@
 	p.suspect(now, m, m.Incarnation, p.self.Name)
 }
 
-// acknowledge ends a probe of this node, or passes the answer on to the node that asked.
-func (p *Prober) acknowledge(now time.Time, sender *member, packet Packet) {
+// handleAck completes a probe of this node, or forwards the ack to the node that requested the probe.
+func (p *Prober) handleAck(now time.Time, sender *member, packet Packet) {
 	if p.forwardAck(now, sender, packet) {
 		return
 	}
@@ -226,11 +226,11 @@
 
 	p.pending = slices.Delete(p.pending, at, at+1)
 	p.lastAck = now
-	p.health = max(p.health-1, 0)
-	p.answered(now, p.members[target], direct)
+	p.healthScore = max(p.healthScore-1, 0)
+	p.recordAnswer(now, p.members[target], direct)
 }
 
-func (p *Prober) answered(now time.Time, m *member, direct bool) {
+func (p *Prober) recordAnswer(now time.Time, m *member, direct bool) {
 	if m == nil {
 		return
 	}
@@ -248,26 +248,26 @@
 	m.DirectFailures++
 }
 
-// relay probes a target on behalf of another node.
-func (p *Prober) relay(now time.Time, origin *member, packet Packet) {
+// relayProbe probes a target on behalf of another node, without indirect probes.
+func (p *Prober) relayProbe(now time.Time, origin *member, packet Packet) {
 	target := p.members[packet.Target]
-	if target == nil || target.PeerAddress == "" || len(p.relays) >= relaysMax {
+	if target == nil || target.PeerAddress == "" || len(p.relays) >= maxRelays {
 		return
 	}
 
-	p.probe++
-	p.relays = append(p.relays, relay{
-		number:       p.probe,
+	p.lastProbeNumber++
+	p.relays = append(p.relays, relayedProbe{
+		number:       p.lastProbeNumber,
 		origin:       origin.Name,
 		originNumber: packet.ProbeNumber,
 		target:       target.Name,
-		expires:      now.Add(relayKeep),
+		expires:      now.Add(relayTimeout),
 	})
-	p.send(now, target, Packet{Kind: KindProbe, ProbeNumber: p.probe})
+	p.send(now, target, Packet{Kind: KindProbe, ProbeNumber: p.lastProbeNumber})
 }
 
 func (p *Prober) forwardAck(now time.Time, sender *member, packet Packet) bool {
-	at := slices.IndexFunc(p.relays, func(v relay) bool { return v.number == packet.ProbeNumber && v.target == sender.Name })
+	at := slices.IndexFunc(p.relays, func(v relayedProbe) bool { return v.number == packet.ProbeNumber && v.target == sender.Name })
 	if at < 0 {
 		return false
 	}
--- a/internal/prober/replay.go
+++ b/internal/prober/replay.go
@@ -1,24 +1,24 @@
 package prober
 
-// replayWindow is the number of datagrams by which one may be overtaken and still count.
+// replayWindow is how far a sequence number may be behind the highest one and still be accepted.
 const replayWindow = 64
 
-// replayGuard remembers which datagrams of one sender were received.
+// replayFilter tracks which sequence numbers of one sender were received.
 //
-// A recorded datagram that is sent again would carry a valid authentication;
-// one would notice old news coming back. The number of each datagram is
-// accepted once, so a replay within the sender's run is dropped.
-type replayGuard struct {
-	// run is the lowest incarnation of the sender's present run.
-	run int64
-	// highest is the highest sequence number accepted.
+// A recorded datagram that is sent again still has a valid MAC and would bring
+// back outdated updates. Each sequence number is accepted only once, so replays
+// are dropped for as long as the sender's process runs.
+type replayFilter struct {
+	// incarnation is the highest incarnation in a packet of the sender so far.
+	incarnation int64
+	// highest is the highest sequence number accepted since the sender started.
 	highest uint64
-	// seen has one bit for each of the last replayWindow numbers; bit 0 is highest.
+	// seen is a bit set of the last replayWindow numbers; bit 0 stands for highest.
 	seen uint64
 }
 
-// accept says whether the sequence number is new, and records it.
-func (g *replayGuard) accept(sequence uint64) bool {
+// accept records a sequence number and reports whether it is new.
+func (g *replayFilter) accept(sequence uint64) bool {
 	if sequence == 0 {
 		return false
 	}
@@ -40,7 +40,7 @@
 	return true
 }
 
-func (g *replayGuard) advance(by uint64) {
+func (g *replayFilter) advance(by uint64) {
 	if by >= replayWindow {
 		g.seen = 1
 
--- a/internal/prober/suspicion.go
+++ b/internal/prober/suspicion.go
@@ -7,47 +7,47 @@
 )
 
 const (
-	// maxHealth bounds by how much a node that doubts itself stretches its timeouts.
-	maxHealth = 8
-	// freezeHealth is what a freeze costs.
-	freezeHealth = 4
-	// confirmationsMax is the number of further suspecting nodes that brings the suspicion time to its least.
-	confirmationsMax = 3
-	// unconfirmedFactor times the least suspicion time is what an unconfirmed suspicion takes.
+	// maxHealthScore limits the health score; timeouts are multiplied by the score plus 1.
+	maxHealthScore = 8
+	// freezeHealthCost is added to the health score after a freeze.
+	freezeHealthCost = 4
+	// maxConfirmations is the number of further suspecting nodes that reduces the suspicion timeout to its minimum.
+	maxConfirmations = 3
+	// unconfirmedFactor times the minimum is the timeout of an unconfirmed suspicion.
 	unconfirmedFactor = 2
-	// isolatedAfter is the time without any answer after which a node holds nobody for dead.
-	isolatedAfter = 3 * time.Second
+	// isolationThreshold is the time without any ack after which a node declares no member dead.
+	isolationThreshold = 3 * time.Second
 )
 
-// begin comes before anything else that an event does.
-func (p *Prober) begin(now time.Time) {
+// beginEvent must be called first for each event.
+func (p *Prober) beginEvent(now time.Time) {
 	if p.started.IsZero() {
 		p.started = now
 		p.lastAck = now
 		p.enqueueSelf()
 	}
 
-	late := !p.lastSeen.IsZero() && now.Sub(p.lastSeen) > p.options.FreezeThreshold
-	p.lastSeen = now
+	late := !p.lastEvent.IsZero() && now.Sub(p.lastEvent) > p.options.FreezeThreshold
+	p.lastEvent = now
 
 	if late {
 		p.recoverFromFreeze(now)
 	}
 }
 
-// recoverFromFreeze follows a time in which this process stood still.
+// recoverFromFreeze resets the state that a pause of this process made invalid.
 //
-// A frozen node wakes up with overdue timeouts for answers that lie unread in
-// its socket. It would suspect healthy peers; one would notice suspicions that
-// all come from one node. So it first doubts itself: it drops what is pending,
-// restarts the time of its suspicions, and refutes what others may hold of it.
+// After a pause, timeouts have expired although the acks are unread in the socket
+// buffer, so the node would suspect many healthy peers at once. It drops its pending
+// probes instead, restarts the timeouts of its suspicions, and raises its incarnation
+// to refute suspicions of itself.
 func (p *Prober) recoverFromFreeze(now time.Time) {
 	p.counters.Freezes++
-	p.loseHealth(freezeHealth)
+	p.degradeHealth(freezeHealthCost)
 	p.pending = nil
 	p.relays = nil
 	p.lastAck = now
-	p.sync = syncState{wanted: true}
+	p.sync = syncState{needed: true}
 	p.raiseIncarnation(p.self.Incarnation)
 
 	for _, m := range p.members {
@@ -57,24 +57,24 @@
 	}
 }
 
-func (p *Prober) loseHealth(by int) {
-	p.health = min(p.health+by, maxHealth)
+func (p *Prober) degradeHealth(by int) {
+	p.healthScore = min(p.healthScore+by, maxHealthScore)
 }
 
 func (p *Prober) isolated(now time.Time) bool {
-	return now.Sub(p.lastAck) > isolatedAfter
+	return now.Sub(p.lastAck) > isolationThreshold
 }
 
-// suspect records a first-hand suspicion by a node and passes it on.
+// suspect records that a probe by the given node failed, and queues the suspicion for other peers.
 func (p *Prober) suspect(now time.Time, m *member, incarnation int64, by string) {
 	if incarnation < m.Incarnation || m.State == Dead && incarnation == m.Incarnation {
 		return
 	}
 
-	fresh := incarnation > m.Incarnation || m.State != Suspect || m.LocalSuspicion
+	isNew := incarnation > m.Incarnation || m.State != Suspect || m.LocalSuspicion
 	m.Incarnation = incarnation
 
-	if fresh {
+	if isNew {
 		p.setState(now, m, Suspect)
 		m.Since = now
 		m.LocalSuspicion = false
@@ -82,7 +82,7 @@
 		p.counters.Suspicions++
 	}
 
-	if slices.Contains(m.suspectedBy, by) || len(m.suspectedBy) > confirmationsMax {
+	if slices.Contains(m.suspectedBy, by) || len(m.suspectedBy) > maxConfirmations {
 		return
 	}
 
@@ -90,31 +90,31 @@
 	p.enqueue(m, by)
 }
 
-// suspectSilently marks a member whose silence may be this node's own fault.
-func (p *Prober) suspectSilently(now time.Time, m *member) {
+// suspectLocally marks a member as suspect that may be unreachable because of this node's own link.
+func (p *Prober) suspectLocally(now time.Time, m *member) {
 	if p.setState(now, m, Suspect) {
 		m.LocalSuspicion = true
 	}
 }
 
-// expireSuspicions holds those for dead that had their time to refute.
-// A node that nobody answers holds nobody for dead: it can't have heard a refutation.
+// expireSuspicions declares suspects dead that did not refute the suspicion in time.
+// An isolated node declares no member dead, because it couldn't have received a refutation.
 func (p *Prober) expireSuspicions(now time.Time) {
 	if p.inState[Suspect] == 0 {
 		return
 	}
 
 	if p.isolated(now) {
-		p.silenceSuspicions()
+		p.makeSuspicionsLocal()
 
 		return
 	}
 
-	least := p.options.suspicionTime(p.size()) * time.Duration(1+p.health)
+	minTimeout := p.options.minSuspicionTimeout(p.nodeCount()) * time.Duration(1+p.healthScore)
 
 	for _, name := range p.names {
 		m := p.members[name]
-		if m.State != Suspect || m.LocalSuspicion || now.Sub(m.Since) < p.suspicionTime(m, least) {
+		if m.State != Suspect || m.LocalSuspicion || now.Sub(m.Since) < p.suspicionTimeout(m, minTimeout) {
 			continue
 		}
 
@@ -124,15 +124,15 @@
 	}
 }
 
-// silenceSuspicions takes the suspicions from before this node's isolation for
-// silence that may be its own fault.
+// makeSuspicionsLocal turns the suspicions from before this node's isolation into
+// local ones, because the members may be unreachable through this node's own fault.
 //
-// Left as they were, they would never run out while the isolation lasts, and a
-// lone survivor would count dead nodes as live for ever: callers would be sent
-// there and runs of theirs be called in progress. After the isolation they would
-// run out at once, before the suspects could refute them. Silent members stop
-// counting after a while and are live again with their first answer.
-func (p *Prober) silenceSuspicions() {
+// Otherwise they would not expire during the isolation, and a lone survivor would
+// count dead nodes as live indefinitely: callers would be sent there, and requests
+// that ran there would be reported as in progress. After the isolation they would
+// expire at once, before the suspects could refute them. Live omits members with a
+// local suspicion after a while; their first ack makes them live again.
+func (p *Prober) makeSuspicionsLocal() {
 	for _, m := range p.members {
 		if m.State == Suspect {
 			m.LocalSuspicion = true
@@ -141,31 +141,32 @@
 	}
 }
 
-// suspicionTime shrinks from unconfirmedFactor times least to least as others confirm.
-func (p *Prober) suspicionTime(m *member, least time.Duration) time.Duration {
-	wanted := min(confirmationsMax, len(p.members)-1)
-	if wanted <= 0 {
-		return least
+// suspicionTimeout returns the timeout of a suspicion: unconfirmedFactor times minTimeout at first, and less with each
+// confirmation, down to minTimeout.
+func (p *Prober) suspicionTimeout(m *member, minTimeout time.Duration) time.Duration {
+	neededConfirmations := min(maxConfirmations, len(p.members)-1)
+	if neededConfirmations <= 0 {
+		return minTimeout
 	}
 
-	confirmed := min(max(len(m.suspectedBy)-1, 0), wanted)
-	part := math.Log(float64(confirmed)+1) / math.Log(float64(wanted)+1)
+	confirmed := min(max(len(m.suspectedBy)-1, 0), neededConfirmations)
+	fraction := math.Log(float64(confirmed)+1) / math.Log(float64(neededConfirmations)+1)
 
-	return time.Duration(float64(least) * (unconfirmedFactor - (unconfirmedFactor-1)*part))
+	return time.Duration(float64(minTimeout) * (unconfirmedFactor - (unconfirmedFactor-1)*fraction))
 }
 
-// refute answers a peer that holds this node for suspect, dead or outdated.
-func (p *Prober) refute(doubt int64) {
-	if doubt < p.self.Incarnation || doubt == 0 {
+// refute raises the incarnation of this node if a peer considers the current one suspect, dead or outdated.
+func (p *Prober) refute(incarnation int64) {
+	if incarnation < p.self.Incarnation || incarnation == 0 {
 		return
 	}
 
 	p.counters.Refutations++
-	p.loseHealth(1)
-	p.raiseIncarnation(doubt)
+	p.degradeHealth(1)
+	p.raiseIncarnation(incarnation)
 }
 
-// raiseIncarnation moves the own incarnation above a known one and tells it.
+// raiseIncarnation raises the incarnation of this node above the given one and queues an update with it.
 func (p *Prober) raiseIncarnation(above int64) {
 	if above == math.MaxInt64 {
 		return
--- a/internal/prober/sync.go
+++ b/internal/prober/sync.go
@@ -6,44 +6,44 @@
 )
 
 const (
-	// syncPeriod is the time between two syncs while listed members are still unknown.
+	// syncPeriod is the interval between syncs while listed members are still Unknown.
 	syncPeriod = 5 * time.Second
-	// newsPerSyncReply bounds the news in one page of a sync.
-	newsPerSyncReply = 20
+	// updatesPerSyncReply limits the updates in one page of a sync.
+	updatesPerSyncReply = 20
 )
 
-// syncState is the progress of reading a peer's members, page by page.
+// syncState is the progress of reading a peer's members page by page.
 //
-// A node that starts or wakes up would otherwise wait until its own probes have
-// met every peer; with 370 nodes that takes minutes.
+// Without a sync, a node that starts or resumes would only learn about its peers
+// as its own probes reach them, which takes minutes with 370 nodes.
 type syncState struct {
-	wanted bool
-	// peer is the node asked; empty between two tries.
+	needed bool
+	// peer is the node that the sync reads from; empty before the first request.
 	peer string
-	// cursor is the last name read.
-	cursor string
-	asked  time.Time
-	// next is when another sync may start.
-	next time.Time
+	// cursor is the last member name received.
+	cursor      string
+	requestedAt time.Time
+	// nextAt is the earliest time of the next sync.
+	nextAt time.Time
 }
 
-// requestSync asks a peer for its members, another one when the last did not answer in time.
+// requestSync requests the members of a peer, or of another one if the last did not answer in time.
 func (p *Prober) requestSync(now time.Time) {
-	if !p.sync.wanted && !now.Before(p.sync.next) && p.inState[Unknown] > 0 {
-		p.sync.wanted = true
+	if !p.sync.needed && !now.Before(p.sync.nextAt) && p.inState[Unknown] > 0 {
+		p.sync.needed = true
 	}
 
-	if !p.sync.wanted || p.sync.peer != "" && now.Sub(p.sync.asked) < 2*p.options.Period {
+	if !p.sync.needed || p.sync.peer != "" && now.Sub(p.sync.requestedAt) < 2*p.options.Period {
 		return
 	}
 
-	candidates := p.pick(1, p.sync.peer)
+	candidates := p.randomLive(1, p.sync.peer)
 	if len(candidates) == 0 {
 		return
 	}
 
 	p.sync.peer = candidates[0].Name
-	p.sync.asked = now
+	p.sync.requestedAt = now
 	p.send(now, candidates[0], Packet{Kind: KindSync, Target: p.sync.cursor})
 }
 
@@ -54,7 +54,7 @@
 	}
 
 	page := []Update{}
-	room := newsPerSyncReply
+	remaining := updatesPerSyncReply
 
 	for _, name := range p.names[at:] {
 		m := p.members[name]
@@ -62,14 +62,14 @@
 			continue
 		}
 
-		v := p.newsOf(m, "")
+		v := p.updateFor(m, "")
 		if v.State == Suspect {
-			// A suspicion is for those to pass on who probed; the reader will probe for itself.
+			// Only nodes whose own probes failed forward a suspicion; the receiver will probe for itself.
 			v.State = Live
 		}
 
-		room -= weight(v)
-		if room < 0 {
+		remaining -= updateWeight(v)
+		if remaining < 0 {
 			break
 		}
 
@@ -80,17 +80,17 @@
 }
 
 func (p *Prober) continueSync(now time.Time, sender *member, packet Packet) {
-	if !p.sync.wanted || sender.Name != p.sync.peer {
+	if !p.sync.needed || sender.Name != p.sync.peer {
 		return
 	}
 
 	if len(packet.Updates) == 0 {
-		p.sync = syncState{next: now.Add(syncPeriod)}
+		p.sync = syncState{nextAt: now.Add(syncPeriod)}
 
 		return
 	}
 
 	p.sync.cursor = packet.Updates[len(packet.Updates)-1].Node
-	p.sync.asked = now
+	p.sync.requestedAt = now
 	p.send(now, sender, Packet{Kind: KindSync, Target: p.sync.cursor})
 }
--- a/internal/prober/types.go
+++ b/internal/prober/types.go
@@ -1,22 +1,24 @@
-// Package prober decides which nodes are live, from direct probes, news that
-// peers pass on, and the platform's lagging list of VMs.
+// Package prober detects which nodes are live, in the manner of SWIM: from direct
+// and indirect probes, membership updates that peers forward, and the platform's
+// list of VMs, which may be out of date.
 //
-// It is plain code over events and time and does no input or output. The cost
-// of a node does not grow with the number of nodes: it probes a fixed number of
-// peers a period and carries news in the same datagrams.
+// It is a state machine driven by events and the time that callers pass in; it
+// does no I/O. The cost per node does not grow with the number of nodes: each
+// probes a fixed number of peers per period and piggybacks updates on the same
+// datagrams.
 package prober
 
 import "time"
 
-// State is what a node holds of a peer.
+// State is the state of a peer as this node sees it.
 type State int
 
 const (
-	// Unknown means that the peer was listed but neither answered nor was vouched for.
+	// Unknown means that the peer is listed, but neither it nor another peer has reported it live.
 	Unknown State = iota
-	// Live means that the peer answered, or that another peer vouches for it.
+	// Live means that the peer sent a packet, or that another peer reported it live.
 	Live
-	// Suspect means that a probe and its indirect probes failed; the peer may still refute it.
+	// Suspect means that a probe and its indirect probes failed; the peer can still refute the suspicion.
 	Suspect
 	// Dead means that a suspicion was not refuted in time.
 	Dead
@@ -36,17 +38,17 @@
 	}
 }
 
-// VM is one node as the platform's list or the node's settings name it.
+// VM is a node as given in the platform's list, in the settings, or by the node itself.
 type VM struct {
 	// Name is unique among the nodes.
 	Name string `json:"n"`
-	// Address is where callers connect.
+	// Address is the address that callers connect to.
 	Address string `json:"a"`
-	// PeerAddress is the IP number and port that receives datagrams.
+	// PeerAddress is the IP address and port that receive datagrams.
 	PeerAddress string `json:"p"`
-	// FailureDomain is what fails together.
+	// FailureDomain names the group of nodes that can fail together.
 	FailureDomain string `json:"d"`
-	// Leaving is the list's mark of a planned stop.
+	// Leaving is set when the list marks the node for a planned stop.
 	Leaving bool `json:"-"`
 }
 
@@ -57,37 +59,37 @@
 	PeerAddress   string
 	FailureDomain string
 	State         State
-	// Incarnation grows with each restart and each refuted suspicion; it never falls. 0 means never heard of.
+	// Incarnation grows with each restart and each refuted suspicion and never decreases. 0 means that nothing was received about the node.
 	Incarnation int64
 	// Leaving is set by the node itself or by the platform's list.
 	Leaving bool
-	// Listed says that the last list named the node.
+	// Listed is set if the last list named the node.
 	Listed bool
-	// Since is when the present state began.
+	// Since is the time at which the current state began.
 	Since time.Time
-	// LocalSuspicion marks a suspicion that arose while nobody answered this node; it is not passed on and never ends in Dead.
+	// LocalSuspicion marks a suspicion raised while no peer answered this node; it is not forwarded and never leads to Dead.
 	LocalSuspicion bool
-	// SuppressedUntil keeps a node that died and returned repeatedly out of Live until then.
+	// SuppressedUntil is the time until which Live omits a node that died and returned repeatedly.
 	SuppressedUntil time.Time
-	// DirectFailures counts the last direct probes in a row that only indirect probes answered.
+	// DirectFailures counts consecutive probes that were answered only through indirect probes.
 	DirectFailures int
-	// Digest is the last one received from the node itself.
+	// Digest is the last digest received from the node itself.
 	Digest Digest
 }
 
-// Digest is what each datagram tells about its sender beside membership.
+// Digest is the sender's status in each datagram, apart from membership.
 type Digest struct {
-	// Revision is that of the settings tree in force at the sender.
+	// Revision is the revision of the settings tree in force at the sender.
 	Revision int64 `json:"r,omitempty"`
-	// Load is a hint for the balance of callers: requests in flight in percent of what the sender can take.
+	// Load is a load-balancing hint: requests in flight as a percentage of the sender's capacity.
 	Load int `json:"l,omitempty"`
-	// Leaving says that the sender is in a planned stop.
+	// Leaving is set while the sender is in a planned stop.
 	Leaving bool `json:"v,omitempty"`
-	// InstanceID differs between any two starts of the sender; claims and requests name it.
+	// InstanceID is unique to each start of the sender; claims and requests refer to it.
 	InstanceID string `json:"u,omitempty"`
 }
 
-// Kind tells what a packet asks for.
+// Kind is the type of a packet.
 type Kind int
 
 const (
@@ -95,25 +97,25 @@
 	KindProbe Kind = iota + 1
 	// KindAck answers a probe, directly or on behalf of Target.
 	KindAck
-	// KindIndirectProbe asks the receiver to probe Target.
+	// KindIndirectProbe asks the receiver to probe Target for the sender.
 	KindIndirectProbe
-	// KindSync asks for the receiver's members after Target in name order.
+	// KindSync requests the receiver's members whose names sort after Target.
 	KindSync
-	// KindSyncReply answers KindSync; without news the list is at its end.
+	// KindSyncReply answers KindSync; a reply without updates marks the end of the list.
 	KindSyncReply
-	// KindDigest only tells the sender's digest and news.
+	// KindDigest carries only the sender's digest and updates and needs no answer.
 	KindDigest
 )
 
-// Update is one node's state as passed on between nodes.
+// Update is the state of one node as forwarded between nodes.
 type Update struct {
 	Node        string `json:"n"`
 	State       State  `json:"s"`
 	Incarnation int64  `json:"i"`
 	Leaving     bool   `json:"v,omitempty"`
-	// By names the node that suspects first-hand; only with Suspect.
+	// By names the node whose own probe failed; only set with Suspect.
 	By string `json:"b,omitempty"`
-	// VM is given for nodes that a list may lack.
+	// VM is set for nodes that the receiver's list may lack.
 	VM *VM `json:"m,omitempty"`
 }
 
@@ -122,30 +124,30 @@
 	Kind Kind `json:"t"`
 	// From is the sender's name.
 	From string `json:"f"`
-	// Incarnation and Sequence tell a replayed datagram from a new one.
-	// Sequence starts at 1 in each run of a node and grows with each datagram to anyone.
+	// Incarnation and Sequence distinguish replayed datagrams from new ones.
+	// Sequence starts at 1 when a node starts and grows with each datagram to any receiver.
 	Incarnation int64  `json:"i"`
 	Sequence    uint64 `json:"s"`
-	// ProbeNumber is the number that the ack must repeat.
+	// ProbeNumber is the number that the ack must echo.
 	ProbeNumber uint64 `json:"p,omitempty"`
-	// Target is the node that an indirect probe is about, or the cursor of a sync.
+	// Target is the target of an indirect probe, or the cursor of a sync.
 	Target string `json:"a,omitempty"`
-	// RefuteIncarnation is the receiver's incarnation that the sender holds for suspect, dead or outdated; 0 means none.
+	// RefuteIncarnation is the receiver's incarnation that the sender considers suspect, dead or outdated; 0 means none.
 	RefuteIncarnation int64  `json:"k,omitempty"`
 	Digest            Digest `json:"d"`
-	// VM introduces the sender.
+	// VM describes the sender to receivers that may not know its addresses.
 	VM      *VM      `json:"m,omitempty"`
 	Updates []Update `json:"n,omitempty"`
 }
 
-// Message is a packet with its receiver.
+// Message is a packet and its receiver.
 type Message struct {
 	To      string
 	Address string
 	Packet  Packet
 }
 
-// Counters count what happened since the start.
+// Counters are totals since the start.
 type Counters struct {
 	ProbesSent       int64 `json:"probes_sent"`
 	ProbesFailed     int64 `json:"probes_failed"`
