--- a/internal/forwarder/client.go
+++ b/internal/forwarder/client.go
@@ -1,5 +1,5 @@
-// Package forwarder sends requests to upstreams and tells exactly whether any
-// byte of a request can have left.
+// Package forwarder sends requests to upstreams and reports reliably whether any
+// byte of a failed request may have been sent.
 package forwarder
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Headers that upstreams receive.
+// Headers sent to upstreams.
 const (
 	HeaderRequestID      = "X-Request-Id"
 	HeaderAttempt        = "X-Attempt"
@@ -25,19 +25,19 @@
 )
 
 const (
-	dialTimeout     = 2 * time.Second
-	checkTimeout    = 400 * time.Millisecond
-	keepAlive       = 15 * time.Second
-	idleTimeout     = 30 * time.Second
-	idlePerUpstream = 256
+	dialTimeout        = 2 * time.Second
+	downCheckTimeout   = 400 * time.Millisecond
+	keepAliveInterval  = 15 * time.Second
+	idleConnTimeout    = 30 * time.Second
+	maxIdlePerUpstream = 256
 )
 
-// ErrNotSent marks failures before any byte of the request can have left.
-var ErrNotSent = errors.New("the request was not sent")
+// ErrNotSent marks failures before any byte of the request can have been sent.
+var ErrNotSent = errors.New("request was not sent")
 
-// Options are the fixed settings of a client.
+// Options configure a Client.
 type Options struct {
-	// BearerKey authenticates the node to upstreams; empty sends none.
+	// BearerKey authenticates the node to upstreams. If it is empty, no Authorization header is sent.
 	BearerKey string
 }
 
@@ -47,11 +47,11 @@
 	URL    string
 	Header http.Header
 	Body   []byte
-	// RequestID, Attempt and Priority become headers.
+	// RequestID, Attempt and Priority are sent as headers.
 	RequestID string
 	Attempt   int
 	Priority  int
-	// UseNewConnection asks for a connection that carried nothing before.
+	// UseNewConnection sends the request on a connection that has not been used before.
 	UseNewConnection bool
 }
 
@@ -59,40 +59,40 @@
 type Client struct {
 	bearerKey string
 	pooled    *http.Client
-	// fresh never reuses a connection. On a reused connection net/http sends a
-	// request again by itself when the connection breaks and the request has an
-	// Idempotency-Key header or no body; the upstream would then run it twice
-	// and nothing here would show it. A connection used once never does that.
-	fresh *http.Client
+	// singleUse never reuses a connection. When a reused connection breaks, net/http
+	// resends the request by itself if it has an Idempotency-Key header or no body.
+	// The upstream would then run it twice without this client noticing. net/http
+	// doesn't resend a request that failed on a new connection.
+	singleUse *http.Client
 }
 
-// NewClient returns a client with its own connections.
+// NewClient returns a client with its own connection pools.
 func NewClient(options Options) *Client {
 	return &Client{
 		bearerKey: options.BearerKey,
 		pooled:    &http.Client{Transport: newTransport(false), CheckRedirect: noRedirect},
-		fresh:     &http.Client{Transport: newTransport(true), CheckRedirect: noRedirect},
+		singleUse: &http.Client{Transport: newTransport(true), CheckRedirect: noRedirect},
 	}
 }
 
-// Do sends the call and returns the answer with its body open. The error wraps
-// ErrNotSent when no byte of the request can have left.
+// Do sends the call and returns the response; the caller must close its body. The error is
+// marked with ErrNotSent if no byte of the request can have been sent.
 func (c *Client) Do(ctx context.Context, call Call) (*http.Response, error) {
 	var connected atomic.Bool
 
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
 
-	request, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), call.Method, call.URL, body(call.Body))
+	request, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), call.Method, call.URL, newBody(call.Body))
 	if err != nil {
 		return nil, errors.Mark(errors.Wrap(err, "build upstream request"), ErrNotSent)
 	}
 
 	request.ContentLength = int64(len(call.Body))
-	c.fillHeader(request, call)
+	c.setHeaders(request, call)
 
 	client := c.pooled
 	if call.UseNewConnection {
-		client = c.fresh
+		client = c.singleUse
 	}
 
 	response, err := client.Do(request)
@@ -107,13 +107,13 @@
 	return nil, errors.Wrap(err, "exchange with upstream")
 }
 
-// CloseIdleConnections ends all idle connections.
+// CloseIdleConnections closes all idle connections. The client remains usable.
 func (c *Client) CloseIdleConnections() {
 	c.pooled.CloseIdleConnections()
-	c.fresh.CloseIdleConnections()
+	c.singleUse.CloseIdleConnections()
 }
 
-func (c *Client) fillHeader(request *http.Request, call Call) {
+func (c *Client) setHeaders(request *http.Request, call Call) {
 	if call.Header != nil {
 		request.Header = call.Header.Clone()
 	}
@@ -128,12 +128,12 @@
 	}
 }
 
-func body(data []byte) io.Reader {
+func newBody(data []byte) io.Reader {
 	if len(data) == 0 {
 		return http.NoBody
 	}
 
-	return &onceReader{data: data}
+	return &singleUseBody{data: data}
 }
 
 func noRedirect(*http.Request, []*http.Request) error {
@@ -141,43 +141,43 @@
 }
 
 func newTransport(disableReuse bool) *http.Transport {
-	dialer := &net.Dialer{Timeout: dialTimeout, KeepAlive: keepAlive}
+	dialer := &net.Dialer{Timeout: dialTimeout, KeepAlive: keepAliveInterval}
 
 	return &http.Transport{
 		DialContext:         dialer.DialContext,
 		MaxIdleConns:        0,
-		MaxIdleConnsPerHost: idlePerUpstream,
-		IdleConnTimeout:     idleTimeout,
+		MaxIdleConnsPerHost: maxIdlePerUpstream,
+		IdleConnTimeout:     idleConnTimeout,
 		DisableKeepAlives:   disableReuse,
 		DisableCompression:  true,
 	}
 }
 
-// onceReader is a body that net/http can't rewind, so that it can't send it twice by itself.
-type onceReader struct {
+// singleUseBody is a request body that net/http can't rewind, and therefore can't resend by itself.
+type singleUseBody struct {
 	data []byte
 }
 
 // Read implements io.Reader.
-func (o *onceReader) Read(p []byte) (int, error) {
-	if len(o.data) == 0 {
+func (b *singleUseBody) Read(p []byte) (int, error) {
+	if len(b.data) == 0 {
 		return 0, io.EOF
 	}
 
-	n := copy(p, o.data)
-	o.data = o.data[n:]
+	n := copy(p, b.data)
+	b.data = b.data[n:]
 
 	return n, nil
 }
 
-// IsDown says whether nothing takes a new connection at a base URL. It returns false where ctx ends first.
-func IsDown(ctx context.Context, address string) bool {
-	base, err := url.Parse(address)
+// IsDown reports whether no server accepts a new connection at a base URL. It returns false if ctx is cancelled first.
+func IsDown(ctx context.Context, baseURL string) bool {
+	base, err := url.Parse(baseURL)
 	if err != nil {
 		return false
 	}
 
-	connection, err := (&net.Dialer{Timeout: checkTimeout}).DialContext(ctx, "tcp", base.Host)
+	connection, err := (&net.Dialer{Timeout: downCheckTimeout}).DialContext(ctx, "tcp", base.Host)
 	if err != nil {
 		return !errors.Is(err, context.Canceled)
 	}
--- a/internal/forwarder/gap.go
+++ b/internal/forwarder/gap_reader.go
@@ -8,35 +8,35 @@
 	"time"
 )
 
-// GapLimits say how long an exchange may be silent.
+// GapLimits bound how long an exchange may receive no bytes.
 type GapLimits struct {
-	// First bounds the time to the first byte, Next that between two reads.
+	// First bounds the time to the first byte, Next the time between two reads.
 	First time.Duration
 	Next  time.Duration
-	// Extend is asked when a limit runs out; true grants Next once more. Nil never extends.
+	// Extend is called when a limit expires; true extends it by Next. Nil never extends.
 	Extend func() bool
 }
 
-// GapReader cancels an exchange when its body is silent for too long.
+// GapReader cancels an exchange when its body delivers no bytes for too long.
 //
-// A connection can go silent for good while new ones work; without a limit the
-// caller would wait until its own deadline. The limit turns the silence into
-// an error that can be resumed on a new connection.
+// A connection can go silent permanently while new ones work; without a limit the
+// caller would wait until its own deadline. The limit turns the silence into an
+// error, after which the request can be resumed on a new connection.
 type GapReader struct {
 	body   io.Reader
 	limits GapLimits
 	cancel context.CancelFunc
-	// onRead is called after each read that brought bytes; it may be nil.
+	// onRead is called after each read that returned bytes; it may be nil.
 	onRead func()
 	silent atomic.Bool
 
-	// mu guards timer, which its own function resets.
+	// mu guards timer, which its own callback resets.
 	mu    sync.Mutex
 	timer *time.Timer
 }
 
-// NewGapReader starts watching; the first limit runs from now on. cancel ends
-// the exchange, and onRead, if not nil, is called whenever bytes came.
+// NewGapReader returns a reader whose first limit starts now. cancel ends the
+// exchange; onRead, if not nil, is called after each read that returned bytes.
 func NewGapReader(limits GapLimits, onRead func(), cancel context.CancelFunc) *GapReader {
 	g := &GapReader{limits: limits, onRead: onRead, cancel: cancel}
 
@@ -85,7 +85,7 @@
 	return n, err
 }
 
-// Stop ends the watch. It must be called once the exchange is over.
+// Stop stops the timer. It must be called when the exchange has ended.
 func (g *GapReader) Stop() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -93,7 +93,7 @@
 	g.timer.Stop()
 }
 
-// Silent says whether the limit ran out.
+// Silent reports whether a limit expired and the exchange was cancelled.
 func (g *GapReader) Silent() bool {
 	return g.silent.Load()
 }
--- a/internal/forwarder/gap_test.go
+++ b/internal/forwarder/gap_reader_test.go
@@ -11,20 +11,20 @@
 	"quincepath.example/quincepath/internal/forwarder"
 )
 
-// Symptom: a contract review ends as no_upstream though every engine works.
-// Events: engines set the review aside for crew answers, one after the other, for longer than its gap limit.
-// Cause: an answer set aside sends no bytes, and counted as a dead connection at once.
-func TestGapReaderExtendsWhileUpstreamTalks(t *testing.T) {
+// Guards against a request of a low tier that ends as no_upstream although all engines work: each engine in turn
+// preempted its answer for longer than the gap limit, and an answer that sends no bytes was immediately treated as a
+// dead connection.
+func TestGapReader_ExtendsLimitWhileUpstreamIsActive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		talks := 3
+		remainingExpiries := 3
 		reader := forwarder.NewGapReader(forwarder.GapLimits{
 			First: 4 * time.Second,
 			Next:  time.Second,
 			Extend: func() bool {
-				talks--
+				remainingExpiries--
 
-				return talks > 0
+				return remainingExpiries > 0
 			},
 		}, nil, cancel)
 
--- a/internal/forwarder/rest_test.go
+++ b/internal/forwarder/retry_after_test.go
@@ -13,7 +13,7 @@
 	"quincepath.example/quincepath/internal/forwarder"
 )
 
-func TestRestIsRead(t *testing.T) {
+func TestParseRetryAfter(t *testing.T) {
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 
 	for text, want := range map[string]time.Duration{
@@ -30,9 +30,9 @@
 	} {
 		response := &http.Response{StatusCode: http.StatusServiceUnavailable, Header: http.Header{"Retry-After": {text}}}
 
-		rest, ok := forwarder.ParseRetryAfter(response, now)
+		delay, ok := forwarder.ParseRetryAfter(response, now)
 		assert.Equal(t, ok, want > 0, text)
-		assert.Assert(t, !ok || rest == want, "%s: %v", text, rest)
+		assert.Assert(t, !ok || delay == want, "%s: %v", text, delay)
 
 		response.StatusCode = http.StatusInternalServerError
 		_, ok = forwarder.ParseRetryAfter(response, now)
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestRefusalTellsItsRest(t *testing.T) {
+func TestRetryAfterOf(t *testing.T) {
 	response := func(status int) *http.Response {
 		return &http.Response{StatusCode: status, Header: http.Header{"Retry-After": {"2"}}, Body: io.NopCloser(strings.NewReader("full"))}
 	}
--- a/internal/forwarder/status.go
+++ b/internal/forwarder/status.go
@@ -8,17 +8,17 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrRefused marks an upstream's answer that says the request was not run.
-var ErrRefused = errors.New("the upstream refused the request")
+// ErrRefused marks a response which says that the upstream did not run the request.
+var ErrRefused = errors.New("upstream refused the request")
 
-// ErrRejected marks an upstream's answer that the request itself is wrong.
-var ErrRejected = errors.New("the upstream rejected the request")
+// ErrRejected marks a response which says that the request itself is invalid.
+var ErrRejected = errors.New("upstream rejected the request as invalid")
 
-// maxErrorBytes is how much of an upstream's error answer is kept for the log and the caller.
+// maxErrorBytes bounds how much of the body of an error response is kept for the log and the caller.
 const maxErrorBytes = 4 << 10
 
-// CheckStatus returns nil for a 2xx answer. Status 429 and 503 wrap ErrRefused:
-// upstreams answer these before they run anything. Other 4xx wrap ErrRejected.
+// CheckStatus returns nil for a response with a 2xx status. Errors for 429 and 503 are marked with ErrRefused:
+// upstreams return these before they run anything. Errors for other 4xx are marked with ErrRejected.
 func CheckStatus(response *http.Response) error {
 	status := response.StatusCode
 	if status >= 200 && status < 300 {
@@ -26,12 +26,12 @@
 	}
 
 	text, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes))
-	err := errors.Newf("upstream answered %d: %s", status, text)
+	err := errors.Newf("upstream returned status %d: %s", status, text)
 
 	switch {
 	case status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable:
-		if rest, ok := ParseRetryAfter(response, time.Now()); ok {
-			err = &restError{error: err, rest: rest}
+		if retryAfter, ok := ParseRetryAfter(response, time.Now()); ok {
+			err = &retryAfterError{error: err, retryAfter: retryAfter}
 		}
 
 		return errors.Mark(err, ErrRefused)
