--- a/internal/heartbeater/heartbeater.go
+++ b/internal/heartbeater/heartbeater.go
@@ -1,4 +1,4 @@
-// Package heartbeater carries the probes of package prober in UDP datagrams.
+// Package heartbeater sends and receives the packets of package prober as UDP datagrams.
 package heartbeater
 
 import (
@@ -16,17 +16,17 @@
 )
 
 const (
-	// tickPeriod is how often the prober looks at its timeouts.
+	// tickPeriod is the time between the prober's checks of its timeouts.
 	tickPeriod = 100 * time.Millisecond
-	// queueLength bounds the packets that wait for the prober. Of 370 nodes each gets some 4 a second.
-	queueLength = 256
-	// readPause keeps a socket that fails at once from turning into a busy loop.
-	readPause = 10 * time.Millisecond
+	// maxQueuedPackets bounds the packets that wait for the prober. In a fleet of 370 nodes, each receives about 4 per second.
+	maxQueuedPackets = 256
+	// readRetryDelay prevents a busy loop when reads from the socket fail immediately.
+	readRetryDelay = 10 * time.Millisecond
 )
 
-// Options are the parts of a Heartbeater; all are required.
+// Options configure a Heartbeater; all are required.
 type Options struct {
-	// Name is this node's; datagrams for others are not authentic.
+	// Name is the name of this node. Datagrams addressed to other names count as not authentic.
 	Name string
 	// Listen is the IP:port of the socket.
 	Listen string
@@ -35,7 +35,7 @@
 	Logger zerolog.Logger
 }
 
-// Counters count datagrams since the start.
+// Counters are numbers of datagrams, and of their bytes, since the start.
 type Counters struct {
 	Sent          int64 `json:"sent"`
 	SentBytes     int64 `json:"sent_bytes"`
@@ -48,11 +48,11 @@
 	QueueFull     int64 `json:"queue_full"`
 }
 
-// Heartbeater joins one Prober to one socket.
+// Heartbeater connects a Prober to a UDP socket.
 type Heartbeater struct {
 	options Options
 	conn    *net.UDPConn
-	packets chan prober.Packet
+	queue   chan prober.Packet
 
 	sent, sentBytes, sendFailed       atomic.Int64
 	received, receivedBytes           atomic.Int64
@@ -60,7 +60,7 @@
 	queueFull                         atomic.Int64
 }
 
-// Listen opens the socket. Run or Close must follow.
+// Listen opens the socket. The caller must then call Run or Close.
 func Listen(ctx context.Context, options Options) (*Heartbeater, error) {
 	conn, err := new(net.ListenConfig).ListenPacket(ctx, "udp", options.Listen)
 	if err != nil {
@@ -70,7 +70,7 @@
 	return &Heartbeater{
 		options: options,
 		conn:    conn.(*net.UDPConn),
-		packets: make(chan prober.Packet, queueLength),
+		queue:   make(chan prober.Packet, maxQueuedPackets),
 	}, nil
 }
 
@@ -79,20 +79,21 @@
 	return h.conn.LocalAddr().String()
 }
 
-// Close closes the socket of a Heartbeater that was never run.
+// Close closes the socket. Run does so itself; call Close only on a Heartbeater that is never run.
 func (h *Heartbeater) Close() error {
-	return errors.Wrap(h.conn.Close(), "close the probes' socket")
+	return errors.Wrap(h.conn.Close(), "close probe socket")
 }
 
-// Run probes and answers until the context ends; a leaving node runs on until its last request is answered.
+// Run probes peers and replies to them until ctx is cancelled. A leaving node must keep it running until its last request
+// has been answered.
 func (h *Heartbeater) Run(ctx context.Context) error {
 	var reader sync.WaitGroup
 
-	reader.Go(func() { h.read(ctx) })
+	reader.Go(func() { h.readDatagrams(ctx) })
 
-	h.drive(ctx)
+	h.runProber(ctx)
 
-	// The reader waits in the socket; closing it ends the wait.
+	// The reader blocks in a socket read; closing the socket unblocks it.
 	err := h.Close()
 	reader.Wait()
 
@@ -104,7 +105,7 @@
 	h.send(h.options.Prober.Leave(time.Now()))
 }
 
-// Counters returns the counts since the start.
+// Counters returns the current counters.
 func (h *Heartbeater) Counters() Counters {
 	return Counters{
 		Sent:          h.sent.Load(),
@@ -119,9 +120,9 @@
 	}
 }
 
-// drive is the only goroutine that runs the prober, so that a pause of the
-// process shows as one late tick before any answer is looked at.
-func (h *Heartbeater) drive(ctx context.Context) {
+// runProber makes all periodic and packet-driven calls to the prober from one goroutine. A pause
+// of the process thus shows as one late call, before any overdue reply is evaluated.
+func (h *Heartbeater) runProber(ctx context.Context) {
 	ticker := time.NewTicker(tickPeriod)
 	defer ticker.Stop()
 
@@ -131,15 +132,15 @@
 			return
 		case <-ticker.C:
 			h.send(h.options.Prober.Tick(time.Now()))
-		case packet := <-h.packets:
+		case packet := <-h.queue:
 			h.send(h.options.Prober.Receive(time.Now(), packet))
 		}
 	}
 }
 
-// read takes datagrams from the socket. What can't be handled in time is dropped:
-// a probe without an answer is repeated, a queue without a bound is not mended.
-func (h *Heartbeater) read(ctx context.Context) {
+// readDatagrams reads datagrams from the socket and queues their packets. Packets are dropped when
+// the queue is full: unanswered probes are repeated, but an unbounded queue would not recover.
+func (h *Heartbeater) readDatagrams(ctx context.Context) {
 	buffer := make([]byte, prober.MaxDatagram+1)
 
 	for {
@@ -150,7 +151,7 @@
 
 		if err != nil {
 			h.options.Logger.Warn().Err(err).Msg("heartbeat_read_failed")
-			pause(ctx, readPause)
+			sleep(ctx, readRetryDelay)
 
 			continue
 		}
@@ -160,20 +161,20 @@
 
 		packet, err := h.options.Codec.Decode(h.options.Name, buffer[:n])
 		if err != nil {
-			h.countBad(err)
+			h.countRejected(err)
 
 			continue
 		}
 
 		select {
-		case h.packets <- packet:
+		case h.queue <- packet:
 		default:
 			h.queueFull.Add(1)
 		}
 	}
 }
 
-func (h *Heartbeater) countBad(err error) {
+func (h *Heartbeater) countRejected(err error) {
 	switch {
 	case errors.Is(err, prober.ErrTooLarge):
 		h.tooLarge.Add(1)
@@ -184,10 +185,10 @@
 	}
 }
 
-// send writes messages; a failure counts as a lost datagram, which probes are made for.
+// send writes messages to the socket. A failed write is treated as a lost datagram, which the probing protocol tolerates.
 func (h *Heartbeater) send(messages []prober.Message) {
 	for _, m := range messages {
-		n, err := h.write(m)
+		n, err := h.writeMessage(m)
 		if err != nil {
 			h.sendFailed.Add(1)
 			h.options.Logger.Debug().Err(err).Str("peer", m.To).Msg("heartbeat_send_failed")
@@ -200,10 +201,10 @@
 	}
 }
 
-func (h *Heartbeater) write(m prober.Message) (int, error) {
+func (h *Heartbeater) writeMessage(m prober.Message) (int, error) {
 	address, err := netip.ParseAddrPort(m.Address)
 	if err != nil {
-		return 0, errors.Wrapf(err, "peer address of %s", m.To)
+		return 0, errors.Wrapf(err, "parse address of peer %s", m.To)
 	}
 
 	datagram, err := h.options.Codec.Encode(m.To, m.Packet)
@@ -216,7 +217,7 @@
 	return n, errors.Wrap(err, "write datagram")
 }
 
-func pause(ctx context.Context, length time.Duration) {
+func sleep(ctx context.Context, length time.Duration) {
 	timer := time.NewTimer(length)
 	defer timer.Stop()
 
--- a/internal/heartbeater/heartbeater_test.go
+++ b/internal/heartbeater/heartbeater_test.go
@@ -16,17 +16,17 @@
 	"quincepath.example/quincepath/internal/prober"
 )
 
-// patience bounds the waits; it is no assertion on speed.
-const patience = 30 * time.Second
+// waitTimeout bounds the waits; it is not an assertion on speed.
+const waitTimeout = 30 * time.Second
 
 type node struct {
-	name   string
-	prober *prober.Prober
-	beats  *heartbeater.Heartbeater
+	name        string
+	prober      *prober.Prober
+	heartbeater *heartbeater.Heartbeater
 }
 
-// start runs nodes on loopback that know each other by a list.
-func start(t *testing.T, count int) []node {
+// startNodes runs nodes on the loopback interface; each is given the list of all.
+func startNodes(t *testing.T, count int) []node {
 	t.Helper()
 
 	codec, err := prober.NewCodec("credential")
@@ -43,7 +43,7 @@
 		})
 		assert.NilError(t, err)
 
-		nodes[i] = node{name: name, prober: p, beats: h}
+		nodes[i] = node{name: name, prober: p, heartbeater: h}
 		list[i] = prober.VM{Name: name, PeerAddress: h.Address(), FailureDomain: "brest"}
 	}
 
@@ -53,7 +53,7 @@
 
 	for _, n := range nodes {
 		n.prober.List(time.Now(), list)
-		running.Go(func() { assert.Check(t, n.beats.Run(ctx)) })
+		running.Go(func() { assert.Check(t, n.heartbeater.Run(ctx)) })
 	}
 
 	t.Cleanup(func() {
@@ -64,7 +64,7 @@
 	return nodes
 }
 
-func wait(t *testing.T, what string, holds func() bool) {
+func waitFor(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if holds() {
@@ -72,13 +72,13 @@
 		}
 
 		return poll.Continue("%s", what)
-	}, poll.WithTimeout(patience), poll.WithDelay(10*time.Millisecond))
+	}, poll.WithTimeout(waitTimeout), poll.WithDelay(10*time.Millisecond))
 }
 
-func TestHeartbeater_NodesFindEachOtherAndLeave(t *testing.T) {
-	nodes := start(t, 3)
+func TestHeartbeater_NodesDiscoverEachOtherAndLeave(t *testing.T) {
+	nodes := startNodes(t, 3)
 
-	wait(t, "all live", func() bool {
+	waitFor(t, "all live", func() bool {
 		for _, n := range nodes {
 			if len(n.prober.Live(time.Now())) != len(nodes) {
 				return false
@@ -88,9 +88,9 @@
 		return true
 	})
 
-	nodes[0].beats.Leave()
+	nodes[0].heartbeater.Leave()
 
-	wait(t, "leaving known", func() bool {
+	waitFor(t, "leaving known", func() bool {
 		for _, n := range nodes[1:] {
 			if m, _ := n.prober.Member("entry-0"); !m.Leaving {
 				return false
@@ -100,25 +100,25 @@
 		return true
 	})
 
-	c := nodes[0].beats.Counters()
+	c := nodes[0].heartbeater.Counters()
 	assert.Assert(t, c.Sent > 0 && c.Received > 0 && c.SentBytes > c.Sent)
 	assert.Equal(t, c.SendFailed, int64(0))
 }
 
-// Symptom: a node stops answering probes, or takes in news from a stranger.
-// Sequence: someone sends datagrams that are empty, too large, without the credential or without a packet.
-// Cause: input from the network trusted or not bounded.
+// Guards against a node that stops replying to probes, or accepts news from an unauthenticated sender, because
+// network input is trusted or unbounded: someone sends datagrams that are empty, malformed, too large, or encoded with
+// another credential.
 func TestHeartbeater_DropsBadDatagrams(t *testing.T) {
-	nodes := start(t, 2)
-	conn, err := new(net.Dialer).DialContext(t.Context(), "udp", nodes[0].beats.Address())
+	nodes := startNodes(t, 2)
+	conn, err := new(net.Dialer).DialContext(t.Context(), "udp", nodes[0].heartbeater.Address())
 	assert.NilError(t, err)
 
 	defer conn.Close()
 
-	stranger, err := prober.NewCodec("another credential")
+	foreignCodec, err := prober.NewCodec("another credential")
 	assert.NilError(t, err)
 
-	forged, err := stranger.Encode("entry-0", prober.Packet{Kind: prober.KindProbe, From: "entry-1", Incarnation: 1, Sequence: 1})
+	forged, err := foreignCodec.Encode("entry-0", prober.Packet{Kind: prober.KindProbe, From: "entry-1", Incarnation: 1, Sequence: 1})
 	assert.NilError(t, err)
 
 	for _, datagram := range [][]byte{{}, {1, 2, 3}, make([]byte, prober.MaxDatagram+100), forged} {
@@ -126,10 +126,10 @@
 		assert.NilError(t, err)
 	}
 
-	wait(t, "bad datagrams counted", func() bool {
-		c := nodes[0].beats.Counters()
+	waitFor(t, "bad datagrams counted", func() bool {
+		c := nodes[0].heartbeater.Counters()
 
 		return c.TooLarge == 1 && c.NotAuthentic == 1 && c.Malformed == 2
 	})
-	wait(t, "still live", func() bool { return len(nodes[1].prober.Live(time.Now())) == 2 })
+	waitFor(t, "still live", func() bool { return len(nodes[1].prober.Live(time.Now())) == 2 })
 }
