--- a/internal/forwarder/retry_after.go
+++ b/internal/forwarder/retry_after.go
@@ -11,9 +11,9 @@
 // maxRetryAfter bounds the delay that an upstream can request.
 const maxRetryAfter = time.Hour
 
-// ParseRetryAfter returns for how long an upstream that refused a request wants no other from this node, or false if it
-// didn't say. It reads the Retry-After header of a response with status 429 or 503: seconds, which may have a fraction,
-// or a date.
+// ParseRetryAfter returns for how long an upstream that refused a request wants no further requests from this node,
+// or false if it didn't say. It reads the Retry-After header of a response with status 429 or 503: seconds, which may
+// have a fraction, or a date.
 func ParseRetryAfter(response *http.Response, now time.Time) (time.Duration, bool) {
 	if response.StatusCode != http.StatusServiceUnavailable && response.StatusCode != http.StatusTooManyRequests {
 		return 0, false
@@ -39,7 +39,7 @@
 	retryAfter time.Duration
 }
 
-// Unwrap implements the interface of errors.Is and errors.As.
+// Unwrap returns the underlying error.
 func (e *retryAfterError) Unwrap() error {
 	return e.error
 }
