--- a/internal/differ/main_test.go
+++ b/internal/differ/main_test.go
@@ -8,6 +8,6 @@
 )
 
 func TestMain(m *testing.M) {
-	seeder.Fix("1")
+	seeder.SetSeed("1")
 	os.Exit(m.Run())
 }
--- a/internal/ejector/ejector_test.go
+++ b/internal/ejector/ejector_test.go
@@ -18,7 +18,7 @@
 var start = time.Date(2026, time.March, 12, 8, 0, 0, 0, time.UTC)
 
 func TestMain(m *testing.M) {
-	seeder.Fix("20260312")
+	seeder.SetSeed("20260312")
 	os.Exit(m.Run())
 }
 
--- a/internal/limiter/cluster_test.go
+++ b/internal/limiter/cluster_test.go
@@ -17,7 +17,7 @@
 )
 
 func TestMain(m *testing.M) {
-	seeder.Fix("20260312")
+	seeder.SetSeed("20260312")
 	os.Exit(m.Run())
 }
 
--- a/internal/orderer/main_test.go
+++ b/internal/orderer/main_test.go
@@ -8,6 +8,6 @@
 )
 
 func TestMain(m *testing.M) {
-	seeder.Fix("7")
+	seeder.SetSeed("7")
 	os.Exit(m.Run())
 }
--- a/internal/retrier/retrier_test.go
+++ b/internal/retrier/retrier_test.go
@@ -19,7 +19,7 @@
 )
 
 func TestMain(m *testing.M) {
-	seeder.Fix("20260312")
+	seeder.SetSeed("20260312")
 	os.Exit(m.Run())
 }
 
--- a/internal/scheduler/main_test.go
+++ b/internal/scheduler/main_test.go
@@ -8,6 +8,6 @@
 )
 
 func TestMain(m *testing.M) {
-	seeder.Fix("4")
+	seeder.SetSeed("4")
 	os.Exit(m.Run())
 }
--- a/internal/seeder/seeder.go
+++ b/internal/seeder/seeder.go
@@ -4,11 +4,11 @@
 
 import "flag"
 
-// Fix sets the seed of package rapid and keeps it from writing failure files.
+// SetSeed sets the seed of package rapid and keeps it from writing failure files.
 // Call it in TestMain before the flags are parsed: -rapid.seed and
 // -rapid.checks of the command line then still go first. It panics when the
 // test program doesn't use rapid.
-func Fix(seed string) {
+func SetSeed(seed string) {
 	for name, value := range map[string]string{"rapid.seed": seed, "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
 			panic(err)
