--- a/internal/administrator/answers.go
+++ b/internal/administrator/answers.go
@@ -20,7 +20,7 @@
 	failure := classifier.From(err)
 
 	if failure.RetryAfter > 0 {
-		w.Header().Set("Retry-After", strconv.Itoa(refuser.WholeSeconds(failure.RetryAfter)))
+		w.Header().Set("Retry-After", strconv.Itoa(refuser.CeilSeconds(failure.RetryAfter)))
 	}
 
 	s.options.Logger.Warn().
--- a/internal/refuser/refuser.go
+++ b/internal/refuser/refuser.go
@@ -12,13 +12,13 @@
 // OpenAI API names the source of an error.
 const failureType = "quincepath_error"
 
-// Answer is the body of every refusal and failure; its outer shape is that of the OpenAI API.
-type Answer struct {
-	Error Failure `json:"error"`
+// ErrorResponse is the body of every refusal and failure; its outer shape is that of the OpenAI API.
+type ErrorResponse struct {
+	Error ErrorObject `json:"error"`
 }
 
-// Failure is what a client learns of a request that failed.
-type Failure struct {
+// ErrorObject is what a client learns of a request that failed.
+type ErrorObject struct {
 	// Message says in words what went wrong; it isn't meant for programs.
 	Message string `json:"message"`
 	Type    string `json:"type"`
@@ -34,8 +34,8 @@
 }
 
 // New returns the body for a failure; requestID may be empty.
-func New(requestID string, failure *classifier.Error) Answer {
-	return Answer{Error: Failure{
+func New(requestID string, failure *classifier.Error) ErrorResponse {
+	return ErrorResponse{Error: ErrorObject{
 		Message:           failure.Reason,
 		Type:              failureType,
 		Code:              failure.Code.String(),
@@ -46,7 +46,7 @@
 	}}
 }
 
-// WholeSeconds rounds up, as the Retry-After header has no fractions.
-func WholeSeconds(wait time.Duration) int {
+// CeilSeconds rounds up, as the Retry-After header has no fractions.
+func CeilSeconds(wait time.Duration) int {
 	return int((wait + time.Second - 1) / time.Second)
 }
--- a/internal/server/answers.go
+++ b/internal/server/answers.go
@@ -38,7 +38,7 @@
 	}
 
 	if failure.RetryAfter > 0 {
-		header.Set("Retry-After", strconv.Itoa(refuser.WholeSeconds(failure.RetryAfter)))
+		header.Set("Retry-After", strconv.Itoa(refuser.CeilSeconds(failure.RetryAfter)))
 	}
 
 	w.WriteHeader(classifier.Describe(failure.Code).Status)
--- a/internal/server/refusal_test.go
+++ b/internal/server/refusal_test.go
@@ -86,7 +86,7 @@
 
 	response := answerTo(t, base, v)
 
-	var answer refuser.Answer
+	var answer refuser.ErrorResponse
 
 	assert.NilError(t, json.NewDecoder(response.Body).Decode(&answer))
 	assert.Equal(t, response.Header.Get(headerResult), answer.Error.Code)
