--- a/internal/recorder/answer.go
+++ b/internal/recorder/answer.go
@@ -16,8 +16,8 @@
 	Data string
 }
 
-// Answer collects the events of one request. One goroutine appends, any number follow.
-type Answer struct {
+// EventBuffer collects the events of one request. One goroutine appends, any number follow.
+type EventBuffer struct {
 	mu sync.Mutex
 	// events only grows; an index once handed out stays valid.
 	events []Event
@@ -33,13 +33,13 @@
 	waiting bool
 }
 
-// NewAnswer returns an empty answer.
-func NewAnswer() *Answer {
-	return &Answer{grown: make(chan struct{})}
+// NewEventBuffer returns an empty answer.
+func NewEventBuffer() *EventBuffer {
+	return &EventBuffer{grown: make(chan struct{})}
 }
 
 // Append adds events to the answer. It must not be called after End.
-func (a *Answer) Append(events ...Event) {
+func (a *EventBuffer) Append(events ...Event) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 
@@ -55,7 +55,7 @@
 }
 
 // End marks the answer as complete, or as failed when err is not nil. Only the first call counts.
-func (a *Answer) End(err error) {
+func (a *EventBuffer) End(err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 
@@ -68,10 +68,10 @@
 	a.wake()
 }
 
-// Next returns the events from index from on. It waits until there is at
+// EventsFrom returns the events from index from on. It waits until there is at
 // least one, the answer has ended, or ctx ends. The last result is true when
 // no event will follow those returned; the error is then that of End.
-func (a *Answer) Next(ctx context.Context, from int) ([]Event, bool, error) {
+func (a *EventBuffer) EventsFrom(ctx context.Context, from int) ([]Event, bool, error) {
 	for {
 		a.mu.Lock()
 		if len(a.events) > from || a.ended {
@@ -93,8 +93,8 @@
 	}
 }
 
-// Position returns the index of the first event after the one with the given id.
-func (a *Answer) Position(id string) (int, bool) {
+// IndexAfter returns the index of the first event after the one with the given id.
+func (a *EventBuffer) IndexAfter(id string) (int, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 
@@ -112,7 +112,7 @@
 }
 
 // Last returns the latest event, or an empty one before the first.
-func (a *Answer) Last() Event {
+func (a *EventBuffer) Last() Event {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 
@@ -124,7 +124,7 @@
 }
 
 // Tokens returns the number of events that can be resumed after, so far.
-func (a *Answer) Tokens() int {
+func (a *EventBuffer) Tokens() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 
@@ -132,7 +132,7 @@
 }
 
 // wake lets those who wait look again; the lock is held.
-func (a *Answer) wake() {
+func (a *EventBuffer) wake() {
 	if !a.waiting {
 		return
 	}
--- a/internal/server/claims.go
+++ b/internal/server/claims.go
@@ -182,7 +182,7 @@
 
 // claimResult implements claimable.
 func (s *engineSender) claimResult() claimer.Result {
-	events, _, _ := s.answer.Next(context.Background(), 0)
+	events, _, _ := s.answer.EventsFrom(context.Background(), 0)
 
 	body, err := json.Marshal(assemble(events))
 	if err != nil {
--- a/internal/server/engine.go
+++ b/internal/server/engine.go
@@ -77,7 +77,7 @@
 	}
 
 	return func(w http.ResponseWriter, r *http.Request, lastEvent string) {
-		from, ok := run.answer.Position(lastEvent)
+		from, ok := run.answer.IndexAfter(lastEvent)
 		if !ok {
 			writeError(w, run.request.ID, classifier.New(classifier.InvalidRequest, "the answer has no event %q", lastEvent))
 
@@ -119,7 +119,7 @@
 	path      string
 	body      []byte
 	key       string
-	answer    *recorder.Answer
+	answer    *recorder.EventBuffer
 	// tokens is the number of tokens in the answer; only the attempt that owns the answer uses it.
 	tokens int
 	// chunkID is the id of the first chunk, which all others get as well.
@@ -134,7 +134,7 @@
 		path:      path,
 		body:      body,
 		key:       taken.key,
-		answer:    recorder.NewAnswer(),
+		answer:    recorder.NewEventBuffer(),
 	}
 }
 
--- a/internal/server/engine_answer.go
+++ b/internal/server/engine_answer.go
@@ -53,7 +53,7 @@
 
 		var failed error
 
-		events, ended, failed = answer.Next(r.Context(), from)
+		events, ended, failed = answer.EventsFrom(r.Context(), from)
 		if r.Context().Err() != nil {
 			return
 		}
@@ -73,8 +73,8 @@
 }
 
 // firstEvents waits for the first events, so that a failure before them still gets its own status.
-func firstEvents(ctx context.Context, answer *recorder.Answer, from int) ([]recorder.Event, bool, *classifier.Error) {
-	events, ended, err := answer.Next(ctx, from)
+func firstEvents(ctx context.Context, answer *recorder.EventBuffer, from int) ([]recorder.Event, bool, *classifier.Error) {
+	events, ended, err := answer.EventsFrom(ctx, from)
 	if len(events) > 0 {
 		// A failure after these events is reported behind them.
 		return events, ended && err == nil, nil
@@ -113,17 +113,17 @@
 	writeJSON(w, assemble(events))
 }
 
-func wholeAnswer(ctx context.Context, answer *recorder.Answer) ([]recorder.Event, *classifier.Error) {
+func wholeAnswer(ctx context.Context, answer *recorder.EventBuffer) ([]recorder.Event, *classifier.Error) {
 	from := 0
 
 	for {
-		events, ended, err := answer.Next(ctx, from)
+		events, ended, err := answer.EventsFrom(ctx, from)
 		if err != nil {
 			return nil, classifier.From(err)
 		}
 
 		if ended {
-			all, _, _ := answer.Next(ctx, 0)
+			all, _, _ := answer.EventsFrom(ctx, 0)
 
 			return all, nil
 		}
--- a/internal/server/hedge_test.go
+++ b/internal/server/hedge_test.go
@@ -122,7 +122,7 @@
 		return `data: {"id":"` + id + `","choices":[{"delta":` + delta + `}]}` + "\n\n"
 	}
 	role := `{"role":"assistant"}`
-	answer := recorder.NewAnswer()
+	answer := recorder.NewEventBuffer()
 
 	parts := runHedged(t,
 		chunk("one", role),
@@ -133,7 +133,7 @@
 
 	assert.Equal(t, parts.released["well"].Tokens, 2)
 
-	events, _, _ := answer.Next(t.Context(), 0)
+	events, _, _ := answer.EventsFrom(t.Context(), 0)
 
 	var text strings.Builder
 	for _, event := range events {
@@ -151,7 +151,7 @@
 	var sender *plainSender
 
 	runHedged(t, "half", "whole", func(request dispatcher.Request, client *forwarder.Client) dispatcher.Sender {
-		sender = &plainSender{client: client, upstreams: newUpstreamTable(), request: request, method: http.MethodGet, path: "/", answer: recorder.NewAnswer()}
+		sender = &plainSender{client: client, upstreams: newUpstreamTable(), request: request, method: http.MethodGet, path: "/", answer: recorder.NewEventBuffer()}
 
 		return sender
 	})
--- a/internal/server/plain.go
+++ b/internal/server/plain.go
@@ -68,7 +68,7 @@
 	path      string
 	header    http.Header
 	body      []byte
-	answer    *recorder.Answer
+	answer    *recorder.EventBuffer
 	// status and answered are set once, before the answer ends.
 	status   int
 	answered http.Header
@@ -99,7 +99,7 @@
 		path:      plainPath(r),
 		header:    header,
 		body:      body,
-		answer:    recorder.NewAnswer(),
+		answer:    recorder.NewEventBuffer(),
 	}
 }
 
--- a/internal/server/plain_test.go
+++ b/internal/server/plain_test.go
@@ -30,7 +30,7 @@
 	for address, want := range results {
 		sender := &plainSender{
 			client: forwarder.NewClient(forwarder.Options{}), upstreams: newUpstreamTable(), request: request,
-			method: http.MethodGet, path: "/", answer: recorder.NewAnswer(),
+			method: http.MethodGet, path: "/", answer: recorder.NewEventBuffer(),
 		}
 		slot := dispatcher.Slot{Upstream: configurer.Upstream{Address: address}}
 
--- a/internal/server/request_run.go
+++ b/internal/server/request_run.go
@@ -18,7 +18,7 @@
 type requestRun struct {
 	request dispatcher.Request
 	sender  dispatcher.Sender
-	answer  *recorder.Answer
+	answer  *recorder.EventBuffer
 	// deliver writes the answer to a caller from the event after lastEvent on; "" means from the start.
 	deliver func(w http.ResponseWriter, r *http.Request, lastEvent string)
 	// key is the idempotency key, and bodyHash what it stands for; the key is empty when there is none.
