--- a/internal/storer/errors.go
+++ b/internal/storer/errors.go
@@ -37,8 +37,8 @@
 
 // Error is a failed call. It unwraps to a classifier.Error, then to the cause.
 type Error struct {
-	// Known is ErrNotApplied or ErrUnknown.
-	Known error
+	// Effect is ErrNotApplied or ErrUnknown.
+	Effect error
 	// Reason is ErrCompacted, ErrLeaseNotFound, ErrRefused, ErrThrottled, or nil when none of them fits.
 	Reason error
 	cause  error
@@ -58,7 +58,7 @@
 	numbered := classifier.Wrap(cause, classifier.PlatformUnavailable, "%s", ErrNotApplied)
 	numbered.Ran = classifier.RanNo
 
-	return &Error{Known: ErrNotApplied, Reason: reason, cause: numbered}
+	return &Error{Effect: ErrNotApplied, Reason: reason, cause: numbered}
 }
 
 // Unknown returns an Error for a write that may have taken effect.
@@ -66,7 +66,7 @@
 	numbered := classifier.Wrap(cause, classifier.PlatformUnavailable, "%s", ErrUnknown)
 	numbered.Ran = classifier.RanUnknown
 
-	return &Error{Known: ErrUnknown, cause: numbered}
+	return &Error{Effect: ErrUnknown, cause: numbered}
 }
 
 // FromStatus returns the Error for a gRPC status. A status that a store may also
@@ -98,7 +98,7 @@
 // Is reports whether target is what is known about the call, or its reason.
 // It stands here, not as a mark on the cause, because the standard library's errors.Is sees no marks.
 func (e *Error) Is(target error) bool {
-	return target == e.Known || (e.Reason != nil && target == e.Reason)
+	return target == e.Effect || (e.Reason != nil && target == e.Reason)
 }
 
 // Unwrap returns the numbered cause.
