--- a/internal/sleeper/sleeper.go
+++ b/internal/sleeper/sleeper.go
@@ -1,4 +1,4 @@
-// Package sleeper waits for a time or for the end of a context.
+// Package sleeper provides a sleep that a context can interrupt.
 package sleeper
 
 import (
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Sleep waits for the length and returns true, or returns false as soon as ctx has ended.
-func Sleep(ctx context.Context, length time.Duration) bool {
-	timer := time.NewTimer(length)
+// Sleep waits for the duration and returns true. It returns false as soon as ctx is done.
+func Sleep(ctx context.Context, duration time.Duration) bool {
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 
 	select {
