--- a/internal/storer/errors.go
+++ b/internal/storer/errors.go
@@ -6,23 +6,23 @@
 	"quincepath.example/quincepath/pkg/classifier"
 )
 
-// What is known about a failed call; test with errors.Is.
+// Errors that classify a failed call; test for them with errors.Is.
 var (
-	// ErrNotApplied means that the call surely changed nothing. Failed reads carry it always.
+	// ErrNotApplied means that the call certainly changed nothing. Every failed read has it.
 	ErrNotApplied = errors.New("the store did not apply the call")
-	// ErrUnknown means that the write may have taken effect, now or later: its reply is lost.
+	// ErrUnknown means that the write may have taken effect or still may: its response was lost.
 	ErrUnknown = errors.New("the store may have applied the call")
-	// ErrCompacted means that the revision asked for is no longer kept: list anew, then watch.
+	// ErrCompacted means that the store no longer keeps the requested revision: list again, then watch.
 	ErrCompacted = errors.New("the revision is compacted")
-	// ErrLeaseNotFound means that the lease has ended, and its keys with it.
-	ErrLeaseNotFound = errors.New("the lease is not found")
-	// ErrRefused means that the store finds the call itself wrong; repeating it is useless.
+	// ErrLeaseNotFound means that the lease has expired or was revoked, and its keys were deleted with it.
+	ErrLeaseNotFound = errors.New("lease not found")
+	// ErrRefused means that the store rejected the call itself; a retry can't succeed.
 	ErrRefused = errors.New("the store refused the call")
-	// ErrThrottled means that a rate is spent, the platform's or the client's own.
-	ErrThrottled = errors.New("the store's rate is spent")
+	// ErrThrottled means that a rate limit is exceeded, the platform's or the client's own.
+	ErrThrottled = errors.New("the store's rate limit is exceeded")
 )
 
-// gRPC status codes that the mapping answers with.
+// gRPC status codes in the error responses of the etcd API's JSON mapping.
 const (
 	StatusInvalidArgument    = 3
 	StatusNotFound           = 5
@@ -35,53 +35,53 @@
 	StatusUnauthenticated    = 16
 )
 
-// Error is a failed call. It unwraps to a classifier.Error, then to the cause.
+// Error describes a failed call. It unwraps to a classifier.Error, then to the cause.
 type Error struct {
-	// Effect is ErrNotApplied or ErrUnknown.
+	// Effect says whether the call may have changed the store: ErrNotApplied or ErrUnknown.
 	Effect error
-	// Reason is ErrCompacted, ErrLeaseNotFound, ErrRefused, ErrThrottled, or nil when none of them fits.
+	// Reason is ErrCompacted, ErrLeaseNotFound, ErrRefused, ErrThrottled, or nil if none applies.
 	Reason error
 	cause  error
 }
 
-// NotApplied returns an Error for a call that surely changed nothing.
+// NotApplied returns an Error for a call that certainly changed nothing.
 func NotApplied(cause error) error {
-	return notApplied(cause, nil)
+	return newNotApplied(cause, nil)
 }
 
-// Throttled returns an Error for a call that a rate held back.
+// Throttled returns an Error for a call that a rate limit rejected.
 func Throttled(cause error) error {
-	return notApplied(cause, ErrThrottled)
+	return newNotApplied(cause, ErrThrottled)
 }
 
-func notApplied(cause, reason error) error {
-	numbered := classifier.Wrap(cause, classifier.PlatformUnavailable, "%s", ErrNotApplied)
-	numbered.Ran = classifier.RanNo
+func newNotApplied(cause, reason error) error {
+	classified := classifier.Wrap(cause, classifier.PlatformUnavailable, "%s", ErrNotApplied)
+	classified.Ran = classifier.RanNo
 
-	return &Error{Effect: ErrNotApplied, Reason: reason, cause: numbered}
+	return &Error{Effect: ErrNotApplied, Reason: reason, cause: classified}
 }
 
 // Unknown returns an Error for a write that may have taken effect.
 func Unknown(cause error) error {
-	numbered := classifier.Wrap(cause, classifier.PlatformUnavailable, "%s", ErrUnknown)
-	numbered.Ran = classifier.RanUnknown
+	classified := classifier.Wrap(cause, classifier.PlatformUnavailable, "%s", ErrUnknown)
+	classified.Ran = classifier.RanUnknown
 
-	return &Error{Effect: ErrUnknown, cause: numbered}
+	return &Error{Effect: ErrUnknown, cause: classified}
 }
 
-// FromStatus returns the Error for a gRPC status. A status that a store may also
-// give after it passed a write on (unavailable, timeout, internal) leaves a write unknown.
+// FromStatus returns the Error for a gRPC status. A write gets ErrUnknown for a status that a store may also return after
+// it forwarded the write (unavailable, timeout, internal).
 func FromStatus(code int, message string, write bool) error {
 	cause := errors.Newf("status %d: %s", code, message)
 	switch code {
 	case StatusOutOfRange:
-		return notApplied(cause, ErrCompacted)
+		return newNotApplied(cause, ErrCompacted)
 	case StatusNotFound:
-		return notApplied(cause, ErrLeaseNotFound)
+		return newNotApplied(cause, ErrLeaseNotFound)
 	case StatusResourceExhausted:
-		return notApplied(cause, ErrThrottled)
+		return newNotApplied(cause, ErrThrottled)
 	case StatusInvalidArgument, StatusPermissionDenied, StatusFailedPrecondition, StatusUnimplemented, StatusUnauthenticated:
-		return notApplied(cause, ErrRefused)
+		return newNotApplied(cause, ErrRefused)
 	}
 	if write {
 		return Unknown(cause)
@@ -90,18 +90,18 @@
 	return NotApplied(cause)
 }
 
-// Error returns what is known and the cause.
+// Error returns the classification and the cause.
 func (e *Error) Error() string {
 	return e.cause.Error()
 }
 
-// Is reports whether target is what is known about the call, or its reason.
-// It stands here, not as a mark on the cause, because the standard library's errors.Is sees no marks.
+// Is reports whether target is the Effect or the Reason. It is a method rather than errors.Mark on the cause, because
+// errors.Is of the standard library doesn't see marks.
 func (e *Error) Is(target error) bool {
 	return target == e.Effect || (e.Reason != nil && target == e.Reason)
 }
 
-// Unwrap returns the numbered cause.
+// Unwrap returns the classifier.Error.
 func (e *Error) Unwrap() error {
 	return e.cause
 }
--- a/internal/storer/types.go
+++ b/internal/storer/types.go
@@ -1,32 +1,31 @@
-// Package storer holds the types and errors of calls on the platform's key-value
-// service and its list of VMs, without network code, for every package that makes such calls.
+// Package storer defines the types and errors of calls to the platform's key-value store and its list of VMs. It has no
+// network code, so that every package that makes such calls can import it.
 //
-// The names are those of the etcd v3 API. Package connector makes the calls; the
-// stand-in's Local makes them in tests. Errors say whether a write surely had no
-// effect (ErrNotApplied) or may have had one (ErrUnknown), so that the caller
-// reads back what holds before it goes on.
+// The names are those of the etcd v3 API. Package connector makes the calls; in tests the stand-in's Local does.
+// Errors say whether a write certainly had no effect (ErrNotApplied) or may have had one (ErrUnknown), in which case the
+// caller reads back the state before it continues.
 package storer
 
 import "time"
 
-// KeyValue is one key with its value and its place in the store's history.
+// KeyValue is one key with its value, revisions and lease.
 type KeyValue struct {
 	Key   string
 	Value []byte
-	// CreateRevision is the revision of the key's creation; 0 when the key is absent.
+	// CreateRevision is the revision at which the key was created; 0 if the key doesn't exist.
 	CreateRevision int64
-	// ModRevision is the revision of the last write; in a delete event that of the deletion.
+	// ModRevision is the revision of the last write; in a delete event, of the deletion.
 	ModRevision int64
-	// Version counts the writes since creation, from 1; 0 when the key is absent.
+	// Version is the number of writes since creation, starting at 1; 0 if the key doesn't exist.
 	Version int64
-	// Lease is the lease that the key ends with; 0 means none.
+	// Lease is the ID of the lease that the key is attached to and deleted with; 0 means none.
 	Lease int64
 }
 
-// Target names what a Compare looks at, in the words of the published mapping.
+// Target is the field of a key that a Compare checks. The values are those of the etcd API's JSON mapping.
 type Target string
 
-// Targets. Each is a number of the key but TargetValue.
+// Targets. All but TargetValue are numeric.
 const (
 	TargetVersion Target = "VERSION"
 	TargetCreate  Target = "CREATE"
@@ -34,10 +33,10 @@
 	TargetValue   Target = "VALUE"
 )
 
-// Relation is how the key's target must relate to the number or value given.
+// Relation is the comparison operator between the key's target and the given number or value.
 type Relation string
 
-// Relations; the empty Relation stands for RelationEqual.
+// Relations. An empty Relation means RelationEqual.
 const (
 	RelationEqual    Relation = "EQUAL"
 	RelationNotEqual Relation = "NOT_EQUAL"
@@ -45,22 +44,22 @@
 	RelationLess     Relation = "LESS"
 )
 
-// Compare is one condition of a transaction.
-// An absent key has the numbers 0 and fulfils no condition on its value.
+// Compare is one condition of a transaction. For a key that doesn't exist, numeric targets are 0 and conditions on the
+// value are false.
 type Compare struct {
 	Key      string
 	Target   Target
 	Relation Relation
-	// Number is compared for all targets but TargetValue.
+	// Number is the operand for all targets but TargetValue.
 	Number int64
-	// Value is compared for TargetValue.
+	// Value is the operand for TargetValue.
 	Value []byte
 }
 
-// OpKind names an operation of a transaction.
+// OpKind is the kind of an operation in a transaction.
 type OpKind string
 
-// Kinds of operations.
+// Operation kinds.
 const (
 	OpPut    OpKind = "put"
 	OpRange  OpKind = "range"
@@ -71,16 +70,16 @@
 type Op struct {
 	Kind OpKind
 	Key  string
-	// RangeEnd is the first key past the range of OpRange and OpDelete; empty means Key alone.
+	// RangeEnd is the exclusive end of the range of OpRange and OpDelete; empty means Key alone.
 	RangeEnd string
-	// Value and Lease belong to OpPut.
+	// Value and Lease apply to OpPut.
 	Value []byte
 	Lease int64
-	// Limit bounds the keys of OpRange; 0 means no bound.
+	// Limit is the maximum number of keys that OpRange returns; 0 means no limit.
 	Limit int64
 }
 
-// Txn is applied as a whole in one revision: Success when all compares hold, else Failure.
+// Txn is applied atomically in one revision: the operations of Success if all compares are true, else those of Failure.
 // No key may be written twice in one branch.
 type Txn struct {
 	Compares []Compare
@@ -88,10 +87,10 @@
 	Failure  []Op
 }
 
-// OpResult is the result of the operation at the same place of the chosen branch.
+// OpResult is the result of the operation at the same index in the branch that was applied.
 type OpResult struct {
 	Kind OpKind
-	// KeyValues, Count and More belong to OpRange; Count includes keys past the limit.
+	// KeyValues, Count and More apply to OpRange; Count includes keys past the limit.
 	KeyValues []KeyValue
 	Count     int64
 	More      bool
@@ -99,7 +98,7 @@
 	Deleted int64
 }
 
-// TxnResult says which branch was applied. A branch not taken is no error.
+// TxnResult is the result of a transaction and says which branch was applied. False compares are not an error.
 type TxnResult struct {
 	Succeeded bool
 	// Revision is the store's revision after the transaction.
@@ -107,16 +106,16 @@
 	Responses []OpResult
 }
 
-// EventKind names a change of a key.
+// EventKind is the kind of change to a key.
 type EventKind string
 
-// Kinds of events.
+// Event kinds.
 const (
 	EventPut    EventKind = "PUT"
 	EventDelete EventKind = "DELETE"
 )
 
-// Event is one change of one key. A delete carries the key and ModRevision only.
+// Event is one change to one key. A delete event has only the key and ModRevision.
 type Event struct {
 	Kind     EventKind
 	KeyValue KeyValue
@@ -124,21 +123,21 @@
 
 // WatchEvents is one message of a watch.
 type WatchEvents struct {
-	// Created marks the first message, which tells that the watch is in place.
+	// Created marks the first message, which confirms that the watch is established.
 	Created bool
-	// Revision is the store's revision when the message was made. The revision to
-	// resume from is one more than the ModRevision of the last event received.
+	// Revision is the store's revision when it created the message. To resume, watch from the ModRevision of the last event
+	// received plus one.
 	Revision int64
-	// Events are in order of revision; those of one revision are never parted.
+	// Events are ordered by revision; those of one revision are never split across messages.
 	Events []Event
-	// CompactRevision is the oldest revision still known, set with an Err that is ErrCompacted.
+	// CompactRevision is the oldest revision that the store still keeps. It is set if Err is ErrCompacted.
 	CompactRevision int64
-	// Err ends the watch: it stands in the last message before the channel closes.
-	// A watch that ends with its context closes the channel without one.
+	// Err is the error that ended the watch, set in the last message before the channel is closed. When the watch's context
+	// is done, the channel is closed without one.
 	Err error
 }
 
-// VM is one virtual machine as the platform lists it.
+// VM is a virtual machine in the platform's list.
 type VM struct {
 	Name          string `json:"name"`
 	Address       string `json:"address"`
@@ -147,22 +146,22 @@
 	State string `json:"state"`
 }
 
-// VMList is the platform's list of VMs, which lags behind the truth.
+// VMList is the platform's list of VMs, which lags behind their actual state.
 type VMList struct {
 	VMs []VM `json:"vms"`
-	// AsOf is the time that the list describes.
+	// AsOf is the time of the state that the list shows.
 	AsOf time.Time `json:"as_of"`
 }
 
 const (
-	// NoEnd as the end of a range stands for "past all keys" in the published mapping.
+	// NoEnd as the end of a range means that the range is unbounded, as in the etcd API's JSON mapping.
 	NoEnd = "\x00"
-	// FirstKey is the lowest key that there can be; keys aren't empty.
+	// FirstKey is the lowest possible key, as keys can't be empty.
 	FirstKey = "\x00"
 )
 
-// PrefixEnd returns the first key past all keys that begin with prefix.
-// It returns NoEnd for a prefix that no key can be past, such as an empty one.
+// PrefixEnd returns the exclusive end of the range of all keys with a prefix. It returns NoEnd if no key sorts after all of
+// them, as with an empty prefix.
 func PrefixEnd(prefix string) string {
 	end := []byte(prefix)
 	for i := len(end) - 1; i >= 0; i-- {
@@ -175,7 +174,7 @@
 	return NoEnd
 }
 
-// PrefixRange returns the first key and the end of the range of all keys with a prefix.
+// PrefixRange returns the first key and the exclusive end of the range of all keys with a prefix.
 func PrefixRange(prefix string) (key, rangeEnd string) {
 	if prefix == "" {
 		return FirstKey, NoEnd
@@ -184,7 +183,7 @@
 	return prefix, PrefixEnd(prefix)
 }
 
-// LeaseSeconds returns a lease's length as the store counts it: whole seconds, rounded up, at least 1.
-func LeaseSeconds(length time.Duration) int64 {
-	return max(int64((length+time.Second-1)/time.Second), 1)
+// LeaseSeconds returns a lease's TTL as the store takes it: in whole seconds, rounded up, at least 1.
+func LeaseSeconds(ttl time.Duration) int64 {
+	return max(int64((ttl+time.Second-1)/time.Second), 1)
 }
