--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -29,7 +29,7 @@
 }
 
 func (n *Node) metrics() http.Handler {
-	parts := map[string]meter.Part{
+	parts := map[string]meter.CounterFunc{
 		"beliefs":     func() any { return n.catalogMetrics() },
 		"follower":    func() any { return n.follower.Counters() },
 		"attempts":    func() any { return n.failedAttempts() },
--- a/internal/gateway/relayer/relayer.go
+++ b/internal/gateway/relayer/relayer.go
@@ -179,7 +179,7 @@
 
 	out := &callerResponse{writer: w, request: request}
 
-	r.options.Meter.Started(request.route.Name)
+	r.options.Meter.RequestStarted(request.route.Name)
 	defer r.recordCompletion(out)
 
 	r.relay(ctx, out)
--- a/internal/gateway/relayer/stats.go
+++ b/internal/gateway/relayer/stats.go
@@ -35,7 +35,7 @@
 	attained := stats.attained(request)
 	duration := time.Since(request.arrived)
 
-	r.options.Meter.Ended(meter.Sample{
+	r.options.Meter.RequestEnded(meter.Sample{
 		Class:      request.route.Name,
 		Code:       stats.code,
 		FirstToken: stats.timeToFirstByte,
--- a/internal/meter/handler.go
+++ b/internal/meter/handler.go
@@ -10,8 +10,8 @@
 // VariableName is the key of the meter's counters among the process's variables.
 const VariableName = "quincepath"
 
-// Part returns counters of another part of the node; they are shown as JSON.
-type Part func() any
+// CounterFunc returns the counters of a component of the node, which are encoded as JSON.
+type CounterFunc func() any
 
 // Handler answers with the process's expvar variables, the meter's counters,
 // and those of the node's other parts, each under its name.
@@ -19,7 +19,7 @@
 // expvar's own handler shows only what was published by a name that is unique in
 // the process and can't be taken back; several nodes in one process, as in tests
 // and demos, would end it by a panic.
-func Handler(m *Meter, parts map[string]Part) http.Handler {
+func Handler(m *Meter, parts map[string]CounterFunc) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json; charset=utf-8")
 
--- a/internal/meter/meter.go
+++ b/internal/meter/meter.go
@@ -56,8 +56,8 @@
 	return &Meter{classes: make(map[string]*class)}
 }
 
-// Started counts a request of the class as in flight until Ended.
-func (m *Meter) Started(name string) {
+// RequestStarted counts a request of the class as in flight until RequestEnded is called for it.
+func (m *Meter) RequestStarted(name string) {
 	m.class(name).inFlight.Add(1)
 }
 
@@ -93,10 +93,10 @@
 	c.hedgeWasted.Add(int64(tokens))
 }
 
-// Ended counts a request that Started, once. A request that the caller spoilt
+// RequestEnded counts the end of a request, once for each RequestStarted. A request that the caller spoilt
 // or its organisation's own limit refused says nothing of the service, and
 // counts neither for nor against attainment.
-func (m *Meter) Ended(sample Sample) {
+func (m *Meter) RequestEnded(sample Sample) {
 	c := m.class(sample.Class)
 	c.inFlight.Add(-1)
 	c.requests.Add(1)
--- a/internal/meter/meter_test.go
+++ b/internal/meter/meter_test.go
@@ -27,8 +27,8 @@
 
 func count(m *meter.Meter, samples ...meter.Sample) {
 	for _, v := range samples {
-		m.Started(v.Class)
-		m.Ended(v)
+		m.RequestStarted(v.Class)
+		m.RequestEnded(v)
 	}
 }
 
@@ -40,7 +40,7 @@
 
 	count(m, whole, late, refused, gone)
 	count(m, meter.Sample{Class: class, Code: classifier.RateLimited}, meter.Sample{Class: class, Code: classifier.KeyConflict})
-	m.Started(class)
+	m.RequestStarted(class)
 	m.Refused(class, classifier.QueueFull)
 	m.Refused("", classifier.Unauthenticated)
 	m.Refused("", 999)
@@ -160,10 +160,10 @@
 func TestCountingAllocatesNothing(t *testing.T) {
 	m := meter.New()
 	request := func() {
-		m.Started(class)
+		m.RequestStarted(class)
 		m.Refused(class, classifier.QueueFull)
 		m.Retried(class, "silent")
-		m.Ended(whole)
+		m.RequestEnded(whole)
 	}
 
 	assert.Equal(t, testing.AllocsPerRun(1000, request), 0.0)
@@ -198,8 +198,8 @@
 	b.ReportAllocs()
 	b.RunParallel(func(p *testing.PB) {
 		for p.Next() {
-			m.Started(class)
-			m.Ended(whole)
+			m.RequestStarted(class)
+			m.RequestEnded(whole)
 		}
 	})
 }
--- a/internal/server/accounting.go
+++ b/internal/server/accounting.go
@@ -65,7 +65,7 @@
 	request := run.request
 	sample := run.sample(failure)
 
-	n.meter.Ended(sample)
+	n.meter.RequestEnded(sample)
 
 	event := n.logger.Info()
 
--- a/internal/server/operators.go
+++ b/internal/server/operators.go
@@ -59,8 +59,8 @@
 }
 
 // parts are the counters of the node beside those of requests.
-func (n *Node) parts() map[string]meter.Part {
-	parts := map[string]meter.Part{
+func (n *Node) parts() map[string]meter.CounterFunc {
+	parts := map[string]meter.CounterFunc{
 		"ejections":  func() any { return n.ejector.Counts() },
 		"limits":     func() any { return n.limits.local.RefusalCounts() },
 		"membership": func() any { return n.members.prober.Counters() },
--- a/internal/server/runs.go
+++ b/internal/server/runs.go
@@ -189,7 +189,7 @@
 func (n *Node) carryOut(ctx context.Context, run *requestRun) {
 	defer run.cancel()
 
-	n.meter.Started(counterName(run.request))
+	n.meter.RequestStarted(counterName(run.request))
 	failure, record := n.dispatchRun(ctx, run)
 
 	run.finish(failure)
