--- a/internal/meter/handler.go
+++ b/internal/meter/handler.go
@@ -7,27 +7,26 @@
 	"net/http"
 )
 
-// VariableName is the key of the meter's counters among the process's variables.
+// VariableName is the key of the meter's counters in the JSON object that Handler writes.
 const VariableName = "quincepath"
 
 // CounterFunc returns the counters of a component of the node, which are encoded as JSON.
 type CounterFunc func() any
 
-// Handler answers with the process's expvar variables, the meter's counters,
-// and those of the node's other parts, each under its name.
+// Handler responds with a JSON object of the meter's counters, the counters of the node's other components by name, and
+// the expvar variables of the process.
 //
-// expvar's own handler shows only what was published by a name that is unique in
-// the process and can't be taken back; several nodes in one process, as in tests
-// and demos, would end it by a panic.
+// expvar.Handler shows only published variables. Publishing panics if the name is in use in the process, and can't be
+// undone, so it would fail where several nodes run in one process, as in tests and demos.
 func Handler(m *Meter, parts map[string]CounterFunc) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json; charset=utf-8")
 
-		// A failed write means that the reader left.
+		// A write fails only if the client has disconnected.
 		_, _ = fmt.Fprintf(w, "{\n%q: %s", VariableName, m)
 
-		for name, part := range parts {
-			_, _ = fmt.Fprintf(w, ",\n%q: %s", name, encoded(part()))
+		for name, counters := range parts {
+			_, _ = fmt.Fprintf(w, ",\n%q: %s", name, encodeCounters(counters()))
 		}
 
 		expvar.Do(func(v expvar.KeyValue) {
@@ -40,8 +39,8 @@
 	})
 }
 
-// encoded returns counters as JSON. Plain numbers always encode; null stands for what doesn't.
-func encoded(counters any) []byte {
+// encodeCounters returns counters as JSON, or null if they can't be encoded. Plain numbers always can.
+func encodeCounters(counters any) []byte {
 	data, err := json.Marshal(counters)
 	if err != nil {
 		return []byte("null")
--- a/internal/meter/meter.go
+++ b/internal/meter/meter.go
@@ -1,7 +1,7 @@
-// Package meter counts how requests end, in expvar.
+// Package meter counts requests, their results and their latency by class, and exposes the counters in the format of
+// expvar.
 //
-// Memory is constant for each class, and a class costs nothing before its
-// first request. docs/METRICS.md lists the names.
+// The memory for each class is constant, and is allocated on first use. docs/METRICS.md lists the metrics.
 package meter
 
 import (
@@ -14,44 +14,44 @@
 )
 
 const (
-	// maxClasses bounds the memory if class names should ever come from callers.
+	// maxClasses bounds the memory in case class names ever come from callers.
 	maxClasses = 512
-	// maxReasons bounds the retry reasons of one class.
+	// maxReasons is the maximum number of retry reasons of a class, including overflowName.
 	maxReasons = 32
-	// overflowName takes what goes beyond a bound, so that the sums stay right.
+	// overflowName is the class or reason that counts everything beyond these limits, so that the sums stay correct.
 	overflowName = "other"
-	// codeCount is the number of result codes that there can be.
+	// codeCount is the number of possible result codes.
 	codeCount = classifier.MaxCode + 1
 )
 
-// Sample is one ended request.
+// Sample describes one ended request.
 type Sample struct {
-	// Class is the name that all counters of the class stand under.
+	// Class is the name of the class in the snapshot.
 	Class string
-	// Code is classifier.OK for a whole answer.
+	// Code is classifier.OK for a complete response.
 	Code classifier.Code
-	// FirstToken is the time from arrival to the first token or answer byte; zero if none came.
+	// FirstToken is the time from arrival to the first token or response byte; zero if there was none.
 	FirstToken time.Duration
-	// Duration is the time from arrival to the end.
+	// Duration is the time from arrival to the end of the request.
 	Duration time.Duration
 	// Tokens is the number of tokens that the caller received.
 	Tokens int
-	// WastedTokens is the number of tokens that engines made and no caller received.
+	// WastedTokens is the number of tokens that engines generated and no caller received.
 	WastedTokens int
 	// Target is the class's latency target.
 	Target time.Duration
-	// Attained says that the answer was whole and met the target.
+	// Attained reports whether the response was complete and met the target.
 	Attained bool
 }
 
-// Meter counts for one node. It is safe for concurrent use and implements
-// expvar.Var. Lock order: Meter.mu, then class.mu; neither is held while encoding.
+// Meter holds the counters of one node. It is safe for concurrent use and implements expvar.Var. Lock order: Meter.mu,
+// then class.mu; neither is held while encoding.
 type Meter struct {
 	mu      sync.RWMutex
 	classes map[string]*class
 }
 
-// New returns a meter without classes. Handler shows it.
+// New returns a meter without classes. It isn't published in expvar; Handler exposes it.
 func New() *Meter {
 	return &Meter{classes: make(map[string]*class)}
 }
@@ -61,8 +61,8 @@
 	m.class(name).inFlight.Add(1)
 }
 
-// Refused counts one refusal or failure by its result code. It goes with every final
-// answer that is not OK, also before a class is known; name is then "".
+// Refused counts one refusal or failure by its result code. It is called for every final response that is not OK. The
+// name is empty if the request ended before its class was known.
 func (m *Meter) Refused(name string, code classifier.Code) {
 	if code < 0 || code >= codeCount {
 		code = classifier.InternalError
@@ -71,12 +71,12 @@
 	m.class(name).refused[code].Add(1)
 }
 
-// Retried counts one further attempt by its reason, such as "silent".
+// Retried counts one retry by its reason, such as "silent".
 func (m *Meter) Retried(name, reason string) {
-	m.class(name).reason(reason).Add(1)
+	m.class(name).retryCounter(reason).Add(1)
 }
 
-// Hedged counts a second attempt that was sent beside a slow first one, and whether it delivered the answer.
+// Hedged counts a second attempt that was sent in parallel with a slow first one, and whether it delivered the response.
 func (m *Meter) Hedged(name string, won bool) {
 	c := m.class(name)
 	c.hedged.Add(1)
@@ -86,16 +86,16 @@
 	}
 }
 
-// Superseded counts the tokens that came from the slower of two attempts.
+// Superseded counts the discarded tokens of the slower of two parallel attempts.
 func (m *Meter) Superseded(name string, tokens int) {
 	c := m.class(name)
 	c.wastedTokens.Add(int64(tokens))
-	c.hedgeWasted.Add(int64(tokens))
+	c.hedgeTokensWasted.Add(int64(tokens))
 }
 
-// RequestEnded counts the end of a request, once for each RequestStarted. A request that the caller spoilt
-// or its organisation's own limit refused says nothing of the service, and
-// counts neither for nor against attainment.
+// RequestEnded counts the end of a request. It is called once for each RequestStarted. Requests that failed through an
+// error of the caller, or that a limit of the caller's own organisation refused, say nothing about the service, so they
+// count neither for nor against attainment.
 func (m *Meter) RequestEnded(sample Sample) {
 	c := m.class(sample.Class)
 	c.inFlight.Add(-1)
@@ -111,16 +111,16 @@
 	case sample.Attained:
 		c.attained.Add(1)
 		c.goodputTokens.Add(int64(sample.Tokens))
-	case counts(sample.Code):
+	case affectsAttainment(sample.Code):
 		c.missed.Add(1)
 	}
 
-	c.observe(sample)
+	c.recordTimes(sample)
 }
 
-// counts says whether a request that ended with the code counts against attainment.
-// The codes from Unauthenticated to KeyTooLong say that the request itself is wrong.
-func counts(code classifier.Code) bool {
+// affectsAttainment reports whether a request that ended with the code counts against attainment if it didn't attain its
+// target. The codes from Unauthenticated to KeyTooLong mean that the request itself is invalid.
+func affectsAttainment(code classifier.Code) bool {
 	switch code {
 	case classifier.CallerGone, classifier.RateLimited, classifier.ConcurrencyLimited, classifier.TokensLimited:
 		return false
@@ -129,11 +129,11 @@
 	return code < classifier.Unauthenticated || code > classifier.KeyTooLong
 }
 
-// String returns all counters as JSON, as expvar wants it.
+// String returns all counters as JSON, as expvar.Var requires.
 func (m *Meter) String() string {
 	data, err := json.Marshal(m.Snapshot())
 	if err != nil {
-		// Only NaN and infinity can't be encoded, and no field is ever one.
+		// Of the fields' values, only NaN and infinity can't be encoded, and no field is ever set to them.
 		return "{}"
 	}
 
@@ -149,10 +149,10 @@
 		return found
 	}
 
-	return m.newClass(name)
+	return m.addClass(name)
 }
 
-func (m *Meter) newClass(name string) *class {
+func (m *Meter) addClass(name string) *class {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 
@@ -168,7 +168,7 @@
 		return found
 	}
 
-	created := &class{reasons: make(map[string]*atomic.Int64)}
+	created := &class{retriesByReason: make(map[string]*atomic.Int64)}
 	m.classes[name] = created
 
 	return created
--- a/internal/meter/meter_test.go
+++ b/internal/meter/meter_test.go
@@ -23,9 +23,9 @@
 
 const class = "assistente/booking"
 
-var whole = meter.Sample{Class: class, FirstToken: 100 * time.Millisecond, Duration: 300 * time.Millisecond, Tokens: 11, Target: 200 * time.Millisecond, Attained: true}
+var attainedSample = meter.Sample{Class: class, FirstToken: 100 * time.Millisecond, Duration: 300 * time.Millisecond, Tokens: 11, Target: 200 * time.Millisecond, Attained: true}
 
-func count(m *meter.Meter, samples ...meter.Sample) {
+func recordRequests(m *meter.Meter, samples ...meter.Sample) {
 	for _, v := range samples {
 		m.RequestStarted(v.Class)
 		m.RequestEnded(v)
@@ -34,12 +34,12 @@
 
 func TestSnapshot(t *testing.T) {
 	m := meter.New()
-	late, refused, gone := whole, meter.Sample{Class: class, Code: classifier.QueueFull}, whole
+	late, refused, cancelled := attainedSample, meter.Sample{Class: class, Code: classifier.QueueFull}, attainedSample
 	late.FirstToken, late.Duration, late.Attained = 400*time.Millisecond, 2*time.Hour, false
-	gone.Code, gone.Attained, gone.Tokens, gone.WastedTokens = classifier.CallerGone, false, 1, 7
+	cancelled.Code, cancelled.Attained, cancelled.Tokens, cancelled.WastedTokens = classifier.CallerGone, false, 1, 7
 
-	count(m, whole, late, refused, gone)
-	count(m, meter.Sample{Class: class, Code: classifier.RateLimited}, meter.Sample{Class: class, Code: classifier.KeyConflict})
+	recordRequests(m, attainedSample, late, refused, cancelled)
+	recordRequests(m, meter.Sample{Class: class, Code: classifier.RateLimited}, meter.Sample{Class: class, Code: classifier.KeyConflict})
 	m.RequestStarted(class)
 	m.Refused(class, classifier.QueueFull)
 	m.Refused("", classifier.Unauthenticated)
@@ -58,12 +58,11 @@
 	assert.DeepEqual(t, total.Retried, map[string]int64{"silent": 1})
 }
 
-// Symptom: a monitor asks for a name that the page lists and finds nothing.
-// Sequence: a counter is added or renamed in the code alone.
-// Cause: the page and the code are written apart.
-func TestPageListsEveryName(t *testing.T) {
+// Guards against a difference between docs/METRICS.md and the exported metrics, which arises when a metric is added or
+// renamed only in the code: monitoring then queries a documented name that doesn't exist.
+func TestDocumentationListsEveryMetric(t *testing.T) {
 	m := meter.New()
-	count(m, whole)
+	recordRequests(m, attainedSample)
 	m.Refused(class, classifier.QueueFull)
 	m.Retried(class, "silent")
 
@@ -71,24 +70,24 @@
 	assert.NilError(t, json.Unmarshal([]byte(m.String()), &decoded))
 
 	exported := map[string]bool{}
-	collect(exported, "", decoded)
+	collectNames(exported, "", decoded)
 
 	page, err := os.ReadFile("../../docs/METRICS.md")
 	assert.NilError(t, err)
 
-	listed := map[string]bool{}
+	documented := map[string]bool{}
 	for _, v := range regexp.MustCompile("(?m)^\\| `([^`]+)` \\|").FindAllStringSubmatch(string(page), -1) {
-		listed[v[1]] = true
+		documented[v[1]] = true
 	}
 
-	assert.DeepEqual(t, slices.Sorted(maps.Keys(listed)), slices.Sorted(maps.Keys(exported)))
+	assert.DeepEqual(t, slices.Sorted(maps.Keys(documented)), slices.Sorted(maps.Keys(exported)))
 
 	codes := m.Snapshot().Refused
 	assert.Equal(t, len(codes), len(classifier.Descriptions())-1)
 }
 
-// collect gathers the names with the varying parts replaced as on the page.
-func collect(names map[string]bool, prefix string, value map[string]any) {
+// collectNames adds the metric names, with their variable parts replaced by the placeholders of docs/METRICS.md.
+func collectNames(names map[string]bool, prefix string, value map[string]any) {
 	for k, v := range value {
 		name := prefix + k
 
@@ -102,7 +101,7 @@
 		}
 
 		if child, ok := v.(map[string]any); ok {
-			collect(names, name+".", child)
+			collectNames(names, name+".", child)
 			continue
 		}
 
@@ -110,9 +109,8 @@
 	}
 }
 
-// Symptom: a node's memory grows until it is killed.
-// Sequence: names that differ with every request reach the meter.
-// Cause: each new name would have counters and histograms of its own.
+// Guards against memory that grows until the node is killed: if names that differ with every request reach the meter,
+// each would otherwise get its own counters and histograms.
 func TestNamesAreBounded(t *testing.T) {
 	m := meter.New()
 
@@ -128,27 +126,27 @@
 	assert.Equal(t, s.Retried["other"], int64(1969))
 }
 
-// TestMemoryOfAClass holds what a class with all three histograms keeps.
-func TestMemoryOfAClass(t *testing.T) {
+// TestMemoryPerClass limits the memory of a class with all three histograms.
+func TestMemoryPerClass(t *testing.T) {
 	const classes = 100
 
 	m := meter.New()
 
-	before := heap()
+	before := heapSize()
 
 	for i := range classes {
-		sample := whole
+		sample := attainedSample
 		sample.Class = fmt.Sprint("class ", i)
-		count(m, sample)
+		recordRequests(m, sample)
 	}
 
-	perClass := (heap() - before) / classes
+	bytesPerClass := (heapSize() - before) / classes
 	runtime.KeepAlive(m)
-	t.Logf("%d bytes a class", perClass)
-	assert.Assert(t, perClass < 80<<10, "%d bytes a class", perClass)
+	t.Logf("%d bytes per class", bytesPerClass)
+	assert.Assert(t, bytesPerClass < 80<<10, "%d bytes per class", bytesPerClass)
 }
 
-func heap() uint64 {
+func heapSize() uint64 {
 	var stats runtime.MemStats
 
 	runtime.GC()
@@ -157,33 +155,33 @@
 	return stats.HeapAlloc
 }
 
-func TestCountingAllocatesNothing(t *testing.T) {
+func TestRecordingDoesNotAllocate(t *testing.T) {
 	m := meter.New()
 	request := func() {
 		m.RequestStarted(class)
 		m.Refused(class, classifier.QueueFull)
 		m.Retried(class, "silent")
-		m.RequestEnded(whole)
+		m.RequestEnded(attainedSample)
 	}
 
 	assert.Equal(t, testing.AllocsPerRun(1000, request), 0.0)
 }
 
-func TestCountsFromManyGoroutines(t *testing.T) {
+func TestConcurrentRecording(t *testing.T) {
 	m := meter.New()
 
-	var wait sync.WaitGroup
+	var wg sync.WaitGroup
 	for range 8 {
-		wait.Go(func() {
+		wg.Go(func() {
 			for range 500 {
-				count(m, whole)
+				recordRequests(m, attainedSample)
 				m.Retried(class, "silent")
 				_ = m.String()
 			}
 		})
 	}
 
-	wait.Wait()
+	wg.Wait()
 
 	s := m.Snapshot().Classes[class]
 	assert.Equal(t, s.Attained, int64(4000))
@@ -199,28 +197,27 @@
 	b.RunParallel(func(p *testing.PB) {
 		for p.Next() {
 			m.RequestStarted(class)
-			m.RequestEnded(whole)
+			m.RequestEnded(attainedSample)
 		}
 	})
 }
 
-// Symptom: a process with two nodes panics, or shows the counters of the wrong node.
-// Sequence: both nodes publish their counters under one name.
-// Cause: names in expvar are unique in the process.
+// Guards against a process with two nodes that panics or shows the counters of the wrong node. This happens if both nodes
+// publish their counters under one name, since names in expvar are unique in the process.
 func TestHandlersOfTwoNodesInOneProcess(t *testing.T) {
 	first, second := meter.New(), meter.New()
-	count(first, whole)
+	recordRequests(first, attainedSample)
 
 	for m, want := range map[*meter.Meter]int64{first: 1, second: 0} {
 		w := httptest.NewRecorder()
 		meter.Handler(m, nil).ServeHTTP(w, httptest.NewRequest("GET", "/debug/vars", nil))
 
-		var shown struct {
+		var variables struct {
 			Quincepath meter.Snapshot  `json:"quincepath"`
 			Memstats   json.RawMessage `json:"memstats"`
 		}
-		assert.NilError(t, json.Unmarshal(w.Body.Bytes(), &shown))
-		assert.Equal(t, shown.Quincepath.Classes[class].Requests, want)
-		assert.Assert(t, len(shown.Memstats) > 0)
+		assert.NilError(t, json.Unmarshal(w.Body.Bytes(), &variables))
+		assert.Equal(t, variables.Quincepath.Classes[class].Requests, want)
+		assert.Assert(t, len(variables.Memstats) > 0)
 	}
 }
--- a/internal/meter/snapshot.go
+++ b/internal/meter/snapshot.go
@@ -9,13 +9,13 @@
 	"quincepath.example/quincepath/pkg/classifier"
 )
 
-// Snapshot is the state of all counters. Counters of one class are read one
-// after the other, so that sums may be apart by the requests ending meanwhile.
+// Snapshot is the state of all counters. The counters of a class are read one after another, so totals can differ by the
+// requests that end in the meantime.
 type Snapshot struct {
 	Classes map[string]ClassSnapshot `json:"classes"`
-	// Refused sums over the classes by the name of the result code; every code but ok has an entry.
+	// Refused is the total over all classes by the name of the result code; every code except ok has an entry.
 	Refused map[string]int64 `json:"refused"`
-	// Retried sums over the classes by reason.
+	// Retried is the total over all classes by reason.
 	Retried map[string]int64 `json:"retried"`
 }
 
@@ -32,10 +32,10 @@
 	WastedTokens  int64   `json:"wasted_tokens"`
 	Hedged        int64   `json:"hedged"`
 	HedgesWon     int64   `json:"hedges_won"`
-	// HedgeTokensWasted is part of WastedTokens.
+	// HedgeTokensWasted is included in WastedTokens.
 	HedgeTokensWasted int64   `json:"hedge_tokens_wasted"`
 	TargetMS          float64 `json:"target_ms"`
-	// Refused has the codes that the class met.
+	// Refused contains only the result codes that occurred in the class.
 	Refused    map[string]int64  `json:"refused"`
 	Retried    map[string]int64  `json:"retried"`
 	FirstToken HistogramSnapshot `json:"first_token"`
@@ -43,7 +43,7 @@
 	Duration   HistogramSnapshot `json:"duration"`
 }
 
-// HistogramSnapshot summarises a histogram since the start of the node.
+// HistogramSnapshot summarises the values that a histogram recorded since the start of the node.
 type HistogramSnapshot struct {
 	Count int64   `json:"count"`
 	P50MS float64 `json:"p50_ms"`
@@ -72,14 +72,14 @@
 	for k, v := range classes {
 		s := v.snapshot()
 		snapshot.Classes[k] = s
-		add(snapshot.Refused, s.Refused)
-		add(snapshot.Retried, s.Retried)
+		addCounts(snapshot.Refused, s.Refused)
+		addCounts(snapshot.Retried, s.Retried)
 	}
 
 	return snapshot
 }
 
-func add(sums, values map[string]int64) {
+func addCounts(sums, values map[string]int64) {
 	for k, v := range values {
 		sums[k] += v
 	}
@@ -100,13 +100,13 @@
 		TargetMS:      milliseconds(time.Duration(c.target.Load())),
 		Refused:       make(map[string]int64),
 
-		HedgeTokensWasted: c.hedgeWasted.Load(),
+		HedgeTokensWasted: c.hedgeTokensWasted.Load(),
 
 		Retried: make(map[string]int64),
 	}
 
-	if judged := s.Attained + s.Missed; judged > 0 {
-		s.Attainment = float64(s.Attained) / float64(judged)
+	if counted := s.Attained + s.Missed; counted > 0 {
+		s.Attainment = float64(s.Attained) / float64(counted)
 	}
 
 	for i := range c.refused {
@@ -118,27 +118,27 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
-	for k, v := range c.reasons {
+	for k, v := range c.retriesByReason {
 		s.Retried[k] = v.Load()
 	}
 
-	s.FirstToken = summary(c.firstToken)
-	s.TokenGap = summary(c.tokenGap)
-	s.Duration = summary(c.duration)
+	s.FirstToken = summarise(c.firstToken)
+	s.TokenGap = summarise(c.tokenGap)
+	s.Duration = summarise(c.duration)
 
 	return s
 }
 
-func summary(histogram *hdrhistogram.Histogram) HistogramSnapshot {
+func summarise(histogram *hdrhistogram.Histogram) HistogramSnapshot {
 	if histogram == nil {
 		return HistogramSnapshot{}
 	}
 
-	at := func(quantile float64) float64 {
+	quantileMS := func(quantile float64) float64 {
 		return milliseconds(time.Duration(histogram.ValueAtQuantile(quantile)) * histogramUnit)
 	}
 
-	return HistogramSnapshot{Count: histogram.TotalCount(), P50MS: at(50), P95MS: at(95), P99MS: at(99)}
+	return HistogramSnapshot{Count: histogram.TotalCount(), P50MS: quantileMS(50), P95MS: quantileMS(95), P99MS: quantileMS(99)}
 }
 
 func milliseconds(d time.Duration) float64 {
